--- a/src/callers/ledger.rs
+++ b/src/callers/ledger.rs
@@ -5,8 +5,8 @@
 //! the deployment allows above quotas covers it meanwhile. VMs that are not heard are left their
 //! even part of each quota, so that the parts of a divided fleet together keep to it.
 
-use crate::callers::outlook::Outlook;
-use crate::callers::told::Told;
+use crate::callers::peer_usage::Told;
+use crate::callers::quota_estimate::Outlook;
 use crate::callers::usage::{History, Usage};
 use crate::callers::{Organisation, Quota, QuotaBounds, Tally};
 use crate::inventory::Name;
--- a/src/callers/mod.rs
+++ b/src/callers/mod.rs
@@ -5,13 +5,13 @@
 mod key;
 mod ledger;
 mod organisation;
-mod outlook;
+mod peer_usage;
 mod quota;
+mod quota_estimate;
 mod register;
 mod tally;
 #[cfg(test)]
 mod tests;
-mod told;
 mod usage;
 
 pub(crate) use key::ApiKey;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -3,13 +3,13 @@
 pub use crate::arguments::command;
 use crate::check;
 use crate::config::Config;
+use crate::csv_import;
 use crate::error::Fault;
 use crate::events::EVENTS;
 use crate::gateway;
 use crate::inventory::Inventory;
 use crate::operator::Publication;
 use crate::platform::{self, PlatformProtocol, PlatformRunners, PlatformStore};
-use crate::register;
 use crate::replay::Replay;
 use crate::trace::trace;
 use clap::ArgMatches;
@@ -219,10 +219,10 @@
         None => Inventory::default(),
     };
     if let Some(path) = path("servers") {
-        register::import_servers(&mut inventory, path)?;
+        csv_import::import_servers(&mut inventory, path)?;
     }
     if let Some(path) = path("models") {
-        register::import_models(&mut inventory, path)?;
+        csv_import::import_models(&mut inventory, path)?;
     }
     let problems = inventory.problems();
     if !problems.is_empty() {
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -4,20 +4,20 @@
 //! never happened; so memory is never overcommitted by any writer's mistake.
 
 mod artifact;
-mod books;
 mod command;
-mod suspects;
+mod crash_suspects;
+mod memory_ledger;
 #[cfg(test)]
 mod tests;
 
 pub(crate) use artifact::Artifact;
-pub(crate) use books::{Copy, CopyState, RunnerBook};
 pub(crate) use command::{Command, Held, Outcome, Under, Verdict};
-pub(crate) use suspects::{Standing, SuspectCommand, Suspects};
+pub(crate) use crash_suspects::{Standing, SuspectCommand, Suspects};
+pub(crate) use memory_ledger::{Copy, CopyState, RunnerBook};
 
 use crate::inventory::{Inventory, Name};
 use crate::replica::{Fold, Position};
-use books::Given;
+use memory_ledger::Given;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::mem;
--- a/src/demand.rs
+++ b/src/demand.rs
@@ -4,8 +4,8 @@
 //! once if each ran as soon as it came. Refused requests count too.
 
 use crate::inventory::{Inventory, Name, Priority};
-use crate::kernel::Service;
 use crate::membership::Membership;
+use crate::service_registry::Service;
 use crate::wire::ModelDemand;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -5,14 +5,16 @@
 use crate::events::{Event, emit};
 use crate::http::{AnswerSender, Body, ReadError, json_response, read_body};
 use crate::inventory::{Inventory, Name, PlainService, Priority};
-use crate::kernel::{Kernel, Service};
 use crate::membership::Membership;
 use crate::metrics::{Metrics, RequestLabels};
-use crate::plain::{Call, PlainCalls};
+use crate::plain_service::{Call, PlainCalls};
+use crate::request_headers::{
+    Sender, deadline_ms, fingerprint, idempotency_key, request_id, sender,
+};
 use crate::retry::RetryBudget;
 use crate::router::Target;
-use crate::sender::{Sender, deadline_ms, fingerprint, idempotency_key, request_id, sender};
 use crate::server::{ControlStream, KeyStream};
+use crate::service_registry::{Kernel, Service};
 use crate::shutdown::{OpenGuard, Shutdown};
 use bytes::Bytes;
 use hyper::body::Incoming;
--- a/src/events.rs
+++ b/src/events.rs
@@ -287,5 +287,5 @@
 pub(crate) fn emit(event: Event, fields: fmt::Arguments<'_>) {
     let row = event.row();
     log::log!(row.level, "E{} {} {fields}", row.number, row.name);
-    crate::recent::keep(event, fields);
+    crate::recent_decisions::keep(event, fields);
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::engine::{EngineClient, Report, ReportedState};
 use crate::events::{Event, emit};
 use crate::inventory::{BackendServer, Name, Priority};
-use crate::kernel::Service;
+use crate::service_registry::Service;
 use crate::wire::RunnerLoad;
 use prometheus_client::metrics::counter::Counter;
 use std::cell::{Cell, RefCell};
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -3,7 +3,7 @@
 use crate::callers::Organisation;
 use crate::gateway::failure::Failure;
 use crate::gateway::grant::Grant;
-use crate::gateway::patience::Patience;
+use crate::gateway::hold_time::Patience;
 use crate::gateway::{Ask, Route, Weights};
 use crate::inventory::Name;
 use std::cell::Cell;
--- a/src/gateway/news.rs
+++ b/src/gateway/directory_updates.rs
@@ -5,8 +5,8 @@
 //! beginning missed something and reads the log itself. Entries that servers only renew are
 //! passed over.
 
-use crate::gateway::digest::ModelHolding;
 use crate::gateway::fleet::{Entry, Holding, ServerState};
+use crate::gateway::gossip_message::ModelHolding;
 use crate::gateway::peers::holding;
 use crate::gateway::{Changes, ServerChange};
 use crate::inventory::Name;
--- a/src/gateway/leading.rs
+++ b/src/gateway/election.rs
@@ -10,7 +10,7 @@
 //! its fence, or a runner refuses its orders once one of them has claimed. Models go on moving
 //! through an outage; without it none moved for its length and the lease.
 
-use crate::gateway::ordering::Ordering;
+use crate::gateway::order_dispatch::Ordering;
 use crate::gateway::state::State;
 use crate::gateway::{Claims, Group, Membership, RunnerControl, StoreError};
 use std::cell::Cell;
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -4,12 +4,12 @@
 //! age. Messages about prompts add up at their receivers; what a lost one would have added is
 //! soon read and past.
 
-use crate::gateway::digest::{Digest, ToldTally, zones_of};
 use crate::gateway::fleet::Incarnation;
+use crate::gateway::gossip_message::{Digest, ToldTally, zones_of};
+use crate::gateway::gossip_sender::Told;
+use crate::gateway::gossip_targets::Targets;
 use crate::gateway::peers::Urgency;
 use crate::gateway::state::State;
-use crate::gateway::targets::Targets;
-use crate::gateway::telling::Told;
 use crate::gateway::zone_loads::ZoneTelling;
 use compio::BufResult;
 use compio::net::UdpSocket;
--- a/src/gateway/digest.rs
+++ b/src/gateway/gossip_message.rs
@@ -1,7 +1,7 @@
 //! The messages between VMs.
 
 use crate::callers::{SPANS, Tally, Usage};
-use crate::gateway::news::DirectoryNews;
+use crate::gateway::directory_updates::DirectoryNews;
 use crate::gateway::view::Sighting;
 use crate::inventory::Name;
 use prost::Message;
--- a/src/gateway/receipt.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -1,8 +1,8 @@
 //! Receiving the datagrams between VMs: what each of them says is taken over by whom it concerns.
 
-use crate::gateway::digest::Digest;
 use crate::gateway::fleet::Incarnation;
 use crate::gateway::gossip::Gossip;
+use crate::gateway::gossip_message::Digest;
 use crate::gateway::peers::{MICROS_PER_MILLI, holding};
 use compio::BufResult;
 use prost::Message;
--- a/src/gateway/telling.rs
+++ b/src/gateway/gossip_sender.rs
@@ -1,15 +1,15 @@
 //! What this VM tells the others: its load, its zone's, its demand, what runners hold.
 
 use crate::callers::{Ledger, Tally};
-use crate::gateway::digest::{
-    Digest, Followed, ServerHoldings, ServerRequests, ToldTally, ToldZoneLoads, WeightsDemand,
-};
+use crate::gateway::directory_updates::told_holding;
 use crate::gateway::fleet::{Holding, Incarnation};
-use crate::gateway::following::Reading;
 use crate::gateway::gossip::{Gossip, INTERVAL};
-use crate::gateway::news::told_holding;
+use crate::gateway::gossip_message::{
+    Digest, Followed, ServerHoldings, ServerRequests, ToldTally, ToldZoneLoads, WeightsDemand,
+};
+use crate::gateway::gossip_targets::Targets;
+use crate::gateway::log_follower::Reading;
 use crate::gateway::peers::MICROS_PER_MILLI;
-use crate::gateway::targets::Targets;
 use crate::short_id::short_id;
 use prost::Message;
 use std::collections::HashSet;
--- a/src/gateway/following.rs
+++ b/src/gateway/log_follower.rs
@@ -3,9 +3,9 @@
 //! Every reading of the log costs, and most bring nothing. So one VM in each zone follows it
 //! closely and tells up to where it has read news; the others read for themselves when they are
 //! told of some, and now and then. Changes of the directory are passed on with their offsets
-//! (`news.rs`), so that no VM needs to read them that has missed none. Everybody follows closely
-//! while nobody tells of fresh readings, so that a VM that is cut off from the log or stands still
-//! delays the others by no more than [`FRESH_FOR`].
+//! (`directory_updates.rs`), so that no VM needs to read them that has missed none. Everybody
+//! follows closely while nobody tells of fresh readings, so that a VM that is cut off from the log
+//! or stands still delays the others by no more than [`FRESH_FOR`].
 
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,68 +1,68 @@
 //! The serving role: one process on every VM between callers and backend servers.
 //!
 //! Everything here speaks in the types of this folder. Callers, backend servers, the
-//! log and the directory are met through the small traits of [`outside`]; what decides
+//! log and the directory are met through the small traits of [`external`]; what decides
 //! (routing, retries, placement) is plain code without a network.
 
-mod ask;
 mod backlog;
 mod budget;
 mod call;
-mod ceiling;
-mod chain;
+mod caller_request;
 mod choose;
 mod configuration;
+mod crash_suspects;
 mod demand;
-mod digest;
+mod directory_updates;
+mod election;
 mod events;
 mod exchange;
+mod external;
 mod failure;
 mod fleet;
-mod following;
 mod gossip;
+mod gossip_message;
+mod gossip_receiver;
+mod gossip_sender;
+mod gossip_targets;
 mod grant;
+mod hold_time;
 mod journal;
-mod leading;
 mod line_fit;
+mod load_limit;
+mod log_follower;
 mod metrics;
-mod news;
-mod ordering;
-mod outside;
-mod patience;
+mod order_dispatch;
+mod order_queue;
 mod peer;
 mod peers;
 mod planning;
-mod receipt;
 mod relay;
 mod routing;
+mod runner_state;
 mod server;
 mod settings;
 mod speeds;
 mod spread;
 mod state;
 mod streaming;
-mod suspects;
 mod swaps;
-mod targets;
-mod telling;
 #[cfg(test)]
 mod tests;
-mod tracked;
-mod turns;
 mod view;
+mod wait_queue;
 mod watch;
 mod zone_loads;
 
-pub(crate) use ask::{Ask, Generation};
+pub(crate) use caller_request::{Ask, Generation};
 pub(crate) use configuration::{
     Configuration, Engine, Limits, Model, Route, RouteKind, Service, Target,
 };
-pub(crate) use fleet::{Entry, Holding, ServerState};
-pub(crate) use metrics::Metrics;
-pub(crate) use outside::{
+pub(crate) use external::{
     Changes, Claims, ConfigSource, Directory, Group, Malformed, Members, Membership, Order,
     OrderOutcome, Protocol, Refusal, Reply, RunnerControl, RunnerReport, SendOptions, ServerChange,
     StoreError, Weights,
 };
+pub(crate) use fleet::{Entry, Holding, ServerState};
+pub(crate) use metrics::Metrics;
 pub(crate) use server::serve;
 pub(crate) use settings::{Bounds, Settings};
--- a/src/gateway/ordering.rs
+++ b/src/gateway/order_dispatch.rs
@@ -1,12 +1,12 @@
 //! The orders that the leading VM gives, and what it knows of the runners by them.
 
-use crate::gateway::ceiling::Ceiling;
-use crate::gateway::chain::Chain;
 use crate::gateway::fleet::{Incarnation, Server};
+use crate::gateway::load_limit::Ceiling;
+use crate::gateway::order_queue::Chain;
 use crate::gateway::peers::{Urgency, WantedRate};
 use crate::gateway::planning::{Planning, RunnerView, Steps};
+use crate::gateway::runner_state::Tracked;
 use crate::gateway::state::State;
-use crate::gateway::tracked::Tracked;
 use crate::gateway::{RunnerControl, RunnerReport, Weights};
 use crate::inventory::Name;
 use std::cell::{Cell, RefCell};
--- a/src/gateway/chain.rs
+++ b/src/gateway/order_queue.rs
@@ -1,9 +1,9 @@
 //! Giving orders to one runner, one after the other, each once the one before is complete.
 
 use crate::gateway::fleet::{Server, holds};
-use crate::gateway::ordering::Ordering;
+use crate::gateway::order_dispatch::Ordering;
 use crate::gateway::planning::Steps;
-use crate::gateway::tracked::{SETTLE, apply};
+use crate::gateway::runner_state::{SETTLE, apply};
 use crate::gateway::{Order, OrderOutcome, RunnerControl, RunnerReport, Weights};
 use crate::inventory::Name;
 use std::rc::Rc;
--- a/src/gateway/peer.rs
+++ b/src/gateway/peer.rs
@@ -1,8 +1,8 @@
 //! What one other VM told last, read from its messages.
 
 use crate::gateway::Weights;
-use crate::gateway::digest::{Digest, Followed};
-use crate::gateway::following::{Reading, Readings};
+use crate::gateway::gossip_message::{Digest, Followed};
+use crate::gateway::log_follower::{Reading, Readings};
 use crate::gateway::peers::{MICROS_PER_MILLI, SILENCE_LIMIT, WantedRate};
 use crate::inventory::Name;
 use std::collections::HashMap;
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,12 +1,12 @@
 //! What other VMs told: their load, their demand, and who gives orders.
 
 use crate::gateway::Weights;
-use crate::gateway::digest::{Crashes, Digest, SentPrompt, sightings_of};
+use crate::gateway::directory_updates::DirectoryNews;
 use crate::gateway::fleet::Holding;
-use crate::gateway::following::Readings;
-use crate::gateway::news::DirectoryNews;
+use crate::gateway::gossip_message::{Crashes, Digest, SentPrompt, sightings_of};
+use crate::gateway::gossip_targets::Targets;
+use crate::gateway::log_follower::Readings;
 use crate::gateway::peer::{Peer, read_demands, read_loads};
-use crate::gateway::targets::Targets;
 use crate::gateway::view::{Sighting, View};
 use crate::gateway::zone_loads::ZoneLoads;
 use crate::inventory::Name;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -8,7 +8,7 @@
 use crate::gateway::fleet::Server;
 use crate::gateway::grant::Grant;
 use crate::gateway::state::State;
-use crate::gateway::turns::Turns;
+use crate::gateway::wait_queue::Turns;
 use crate::gateway::{Ask, Malformed, Protocol, RouteKind, SendOptions};
 use crate::http::{Body, ReadError, read_body};
 use bytes::Bytes;
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -6,7 +6,7 @@
 use crate::gateway::failure::Failure;
 use crate::gateway::fleet::Server;
 use crate::gateway::relay::Relay;
-use crate::gateway::turns::Turn;
+use crate::gateway::wait_queue::Turn;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tracing::info;
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,10 +1,10 @@
 //! One VM's process in the serving role, from start to end.
 
 use crate::error::Fault;
+use crate::gateway::election::Leading;
 use crate::gateway::fleet::Incarnation;
 use crate::gateway::gossip::Gossip;
 use crate::gateway::journal::Journal;
-use crate::gateway::leading::Leading;
 use crate::gateway::relay::Relay;
 use crate::gateway::state::State;
 use crate::gateway::watch::Watch;
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -2,13 +2,13 @@
 
 use crate::callers::Ledger;
 use crate::gateway::call::Cost;
+use crate::gateway::crash_suspects::Suspects;
 use crate::gateway::demand::Demand;
+use crate::gateway::directory_updates::{Assembly, DirectoryNews};
 use crate::gateway::fleet::{Fleet, Holding, Incarnation, Taken};
-use crate::gateway::following::{Following, Readings, follows_closely};
-use crate::gateway::news::{Assembly, DirectoryNews};
+use crate::gateway::log_follower::{Following, Readings, follows_closely};
 use crate::gateway::peers::{Peers, Urgency, WantedRate};
 use crate::gateway::speeds::Speeds;
-use crate::gateway::suspects::Suspects;
 use crate::gateway::{
     Changes, Configuration, Generation, Metrics, ServerChange, Settings, Weights,
 };
--- a/src/gateway/tests/decisions.rs
+++ b/src/gateway/tests/decisions.rs
@@ -2,12 +2,12 @@
 
 use crate::gateway::backlog::Backlog;
 use crate::gateway::budget::{Allowance, RetryBudget};
-use crate::gateway::ceiling::Ceiling;
 use crate::gateway::choose::{Candidate, choose};
+use crate::gateway::crash_suspects::Suspects;
 use crate::gateway::demand::Demand;
 use crate::gateway::events::EventBuffer;
 use crate::gateway::fleet::{Fleet, Taken};
-use crate::gateway::suspects::Suspects;
+use crate::gateway::load_limit::Ceiling;
 use crate::gateway::watch::retry_pause;
 use crate::gateway::{
     Configuration, Entry, Holding, Limits, Route, RouteKind, ServerState, Target, Weights,
--- a/src/gateway/tests/passing.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -1,7 +1,7 @@
 //! Changes of the directory reach the zone whole, or not at all.
 
+use crate::gateway::directory_updates::{Assembly, DirectoryNews, news_of};
 use crate::gateway::fleet::{Entry, Holding, ServerState};
-use crate::gateway::news::{Assembly, DirectoryNews, news_of};
 use crate::gateway::peers::Peers;
 use crate::gateway::state::State;
 use crate::gateway::tests::state;
--- a/src/gateway/tests/telling.rs
+++ b/src/gateway/tests/gossip_sender.rs
@@ -1,7 +1,7 @@
 //! What the VM that gives orders tells of runners.
 
 use crate::gateway::fleet::{Entry, Fleet, Holding, ServerState};
-use crate::gateway::telling::Told;
+use crate::gateway::gossip_sender::Told;
 use std::time::{Duration, Instant};
 
 const TURN: Duration = Duration::from_millis(200);
--- a/src/gateway/tests/loads.rs
+++ b/src/gateway/tests/loads.rs
@@ -1,9 +1,9 @@
 //! Every VM knows the load that all others together put on a server, at any size of the fleet.
 
-use crate::gateway::digest::{Digest, SentPrompt, ServerRequests, ToldZoneLoads, zones_of};
 use crate::gateway::gossip::INTERVAL;
+use crate::gateway::gossip_message::{Digest, SentPrompt, ServerRequests, ToldZoneLoads, zones_of};
+use crate::gateway::gossip_targets::Targets;
 use crate::gateway::peers::Peers;
-use crate::gateway::targets::Targets;
 use crate::gateway::tests::{address, index};
 use crate::gateway::view::Sighting;
 use crate::gateway::zone_loads::ZoneTelling;
--- a/src/gateway/tests/following.rs
+++ b/src/gateway/tests/log_follower.rs
@@ -1,8 +1,8 @@
 //! One VM in a zone follows the log for the others, and is replaced within a second.
 
-use crate::gateway::following::{FRESH_FOR, Reading, Readings, follows_closely};
 use crate::gateway::gossip::INTERVAL;
-use crate::gateway::targets::Targets;
+use crate::gateway::gossip_targets::Targets;
+use crate::gateway::log_follower::{FRESH_FOR, Reading, Readings, follows_closely};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/src/gateway/tests/members.rs
+++ b/src/gateway/tests/members.rs
@@ -1,6 +1,6 @@
 //! Which VMs are members of the log's group, at any size of the fleet.
 
-use crate::gateway::digest::{Digest, zones_of};
+use crate::gateway::gossip_message::{Digest, zones_of};
 use crate::gateway::peers::{MEMBERS, Peers};
 use crate::gateway::tests::address;
 use crate::gateway::view::{SEEN_LIMIT, Sighting};
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -2,12 +2,13 @@
 
 mod brief;
 mod decisions;
-mod following;
+mod directory_updates;
+mod gossip_sender;
 mod loads;
+mod log_follower;
 mod members;
-mod ordering;
+mod order_dispatch;
 mod pages;
-mod passing;
 mod planning;
 mod quota_play;
 mod quota_ways;
@@ -15,7 +16,6 @@
 mod speeds;
 mod spreading;
 mod swaps;
-mod telling;
 mod views;
 mod waiting;
 mod zones;
--- a/src/gateway/tests/ordering.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -1,7 +1,7 @@
 //! Orders never fill a runner beyond its room, whatever else is under way there.
 
 use crate::gateway::fleet::{Entry, Holding, ServerState};
-use crate::gateway::ordering::Ordering;
+use crate::gateway::order_dispatch::Ordering;
 use crate::gateway::state::State;
 use crate::gateway::tests::state;
 use crate::gateway::{
--- a/src/gateway/tests/quota_ways.rs
+++ b/src/gateway/tests/quota_ways.rs
@@ -1,7 +1,7 @@
 //! Ways to keep a quota at many VMs: the product's, and those that it is compared with.
 
 use crate::callers::{Ledger, Organisation, Tally};
-use crate::gateway::targets::Targets;
+use crate::gateway::gossip_targets::Targets;
 use crate::gateway::tests::quota_play::{BOUNDS, Load};
 use crate::inventory::Name;
 use std::collections::{BTreeMap, VecDeque};
--- a/src/gateway/tests/views.rs
+++ b/src/gateway/tests/views.rs
@@ -1,8 +1,8 @@
 //! Every VM knows every VM, at any size of the fleet, over a network that loses messages.
 
 use crate::gateway::budget::{Allowance, RetryBudget};
-use crate::gateway::digest::{Digest, zones_of};
 use crate::gateway::gossip::INTERVAL;
+use crate::gateway::gossip_message::{Digest, zones_of};
 use crate::gateway::peers::Peers;
 use crate::gateway::tests::{address, index};
 use crate::gateway::view::{SEEN_LIMIT, Sighting, View};
--- a/src/gateway/tests/waiting.rs
+++ b/src/gateway/tests/waiting.rs
@@ -2,8 +2,8 @@
 
 use crate::gateway::Weights;
 use crate::gateway::choose::Candidate;
-use crate::gateway::patience::Patience;
-use crate::gateway::turns::Turns;
+use crate::gateway::hold_time::Patience;
+use crate::gateway::wait_queue::Turns;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -1,7 +1,7 @@
 //! Follows the configuration and the directory of backend servers.
 
-use crate::gateway::following::{Reading, Readings};
-use crate::gateway::news::news_of;
+use crate::gateway::directory_updates::news_of;
+use crate::gateway::log_follower::{Reading, Readings};
 use crate::gateway::peers::Urgency;
 use crate::gateway::state::State;
 use crate::gateway::{Changes, ConfigSource, Directory, ServerChange, StoreError};
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP serving over `hyper` and `compio`, and the body type of all answers.
 
 use crate::shutdown::Shutdown;
-use crate::stall::{StallWatch, Watched};
+use crate::write_stall::{StallWatch, Watched};
 use bytes::Bytes;
 use compio::net::{TcpListener, TcpSocket, TcpStream};
 use compio::runtime::JoinHandle;
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,12 +1,12 @@
 //! Which VMs live: the platform's list, and heartbeats that tell sooner.
 
 use crate::events::{Event, emit};
+use crate::external::{ListedVm, VmList};
 use crate::fleet::Load;
 use crate::inventory::Name;
-use crate::kernel::Service;
-use crate::outside::{ListedVm, VmList};
-use crate::pause::PauseWatch;
+use crate::pause_detector::PauseWatch;
 use crate::server::ControlStream;
+use crate::service_registry::Service;
 use crate::wire::{Heartbeat, ModelDemand};
 use futures_util::future::select;
 use std::cell::{Cell, RefCell};
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and gauges, written in the Prometheus text format.
 
-use crate::kernel::Service;
+use crate::service_registry::Service;
 use prometheus_client::encoding::{EncodeLabelSet, text::encode};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -8,11 +8,11 @@
 use crate::fleet::Fleet;
 use crate::http::{Body, json_response, read_body};
 use crate::inventory::{Inventory, InventoryChange, Name};
-use crate::kernel::{Kernel, Service};
 use crate::membership::Membership;
 use crate::metrics::{Metrics, StreamLabels};
-use crate::recent;
+use crate::recent_decisions;
 use crate::server::{ControlStream, KeyStream};
+use crate::service_registry::{Kernel, Service};
 use crate::stream::{ProposeError, Recorded};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode, header};
@@ -334,7 +334,7 @@
 /// The recent decisions of this VM about what the query names.
 fn explain(query: &str) -> Response<Body> {
     let what = query.strip_prefix("about=").unwrap_or_default();
-    let decisions: Vec<Value> = recent::about(what)
+    let decisions: Vec<Value> = recent_decisions::about(what)
         .iter()
         .map(|decision| {
             json!({
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,7 +1,7 @@
 //! Deciding what to load and unload, from the books and the inventory alone.
 
+mod eviction;
 mod replicas;
-mod room;
 
 use crate::control::{Artifact, Control, CopyState, MAX_OPEN_LOADS, RunnerBook};
 use crate::demand::Slots;
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -12,11 +12,11 @@
 use crate::events::{Event, emit};
 use crate::fleet::Fleet;
 use crate::inventory::{BackendServer, Inventory, Name};
-use crate::kernel::Service;
 use crate::membership::Membership;
 use crate::metrics::{Metrics, OrderLabels};
 use crate::placement::{Move, Planning};
 use crate::server::ControlStream;
+use crate::service_registry::Service;
 use crate::shutdown::Shutdown;
 use futures_util::future::join_all;
 use std::cell::RefCell;
@@ -75,7 +75,7 @@
 
 impl Planner {
     /// A planner over the services it reads; `writer` names this run in the log.
-    pub(crate) fn new(kernel: &crate::kernel::Kernel, vm: Name, writer: Name) -> Self {
+    pub(crate) fn new(kernel: &crate::service_registry::Kernel, vm: Name, writer: Name) -> Self {
         let metrics: Rc<Metrics> = kernel.find();
         Self {
             control: kernel.find(),
--- a/src/replay.rs
+++ b/src/replay.rs
@@ -3,7 +3,7 @@
 
 use crate::control::{Control, Verdict};
 use crate::error::Fault;
-use crate::outside::Page;
+use crate::external::Page;
 use crate::replica::{Folded, Replica};
 use error_stack::{Report, ResultExt};
 use serde_json::{Value, json};
--- a/src/sender.rs
+++ b/src/request_headers.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{Failure, Kind};
 use crate::inventory::{Caller, Inventory, Name, Priority};
-use crate::plain::IdempotencyKey;
+use crate::plain_service::IdempotencyKey;
 use hyper::{HeaderMap, header};
 use serde_json::{Map, Value, json};
 
--- a/src/keeper.rs
+++ b/src/snapshot_writer.rs
@@ -1,9 +1,9 @@
 //! Writes snapshots of the control stream before the log drops what they cover.
 
 use crate::events::{Event, emit};
-use crate::kernel::Kernel;
 use crate::membership::Membership;
 use crate::server::ControlStream;
+use crate::service_registry::Kernel;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -14,9 +14,9 @@
 //! A reader that the log does not help, since it is down or has dropped records
 //! that no snapshot covers, takes a snapshot from a peer. It never skips records.
 
+use crate::append_pace::Pace;
+use crate::external::{LogError, LogRecord, LogService, Page};
 use crate::inventory::Name;
-use crate::outside::{LogError, LogRecord, LogService, Page};
-use crate::pace::Pace;
 use crate::replica::{Envelope, Fold, Folded, MAX_BATCH, Position, Replica};
 use crate::signal::Signal;
 use futures_channel::oneshot;
--- a/workbench/src/calls.rs
+++ b/workbench/src/calls.rs
@@ -1,8 +1,8 @@
 //! What non-idempotent calls cost: appends, time and memory against calls a second.
 
 use crate::cluster::{Cluster, Plan};
-use crate::keyed::{self, CallAnswer, KeyedCall, runs, runs_by_key};
-use crate::shape::Shape;
+use crate::keyed_calls::{self, CallAnswer, KeyedCall, runs, runs_by_key};
+use crate::sample_inventory::Shape;
 use crate::usage;
 use futures_util::future::join_all;
 use hdrhistogram::Histogram;
@@ -108,7 +108,7 @@
         let tally = tally.clone();
         tasks.push(compio::runtime::spawn(async move {
             let call = KeyedCall::with_text(TEXT_BYTES);
-            let answer = keyed::exchange(address, &call, &format!("call-{number}")).await;
+            let answer = keyed_calls::exchange(address, &call, &format!("call-{number}")).await;
             tally.borrow_mut().note(answer.as_ref());
         }));
     }
--- a/workbench/src/capacity.rs
+++ b/workbench/src/capacity.rs
@@ -1,7 +1,7 @@
 //! What control costs each VM at a size: processor time, memory, bytes, appends.
 
 use crate::cluster::{Cluster, Plan};
-use crate::shape::Shape;
+use crate::sample_inventory::Shape;
 use crate::usage::{self, Usage};
 use serde_json::json;
 use std::time::{Duration, Instant};
--- a/workbench/src/cluster.rs
+++ b/workbench/src/cluster.rs
@@ -1,11 +1,11 @@
 //! A whole site of real processes on loopback: stand-ins and VMs.
 
+use crate::http_json;
 use crate::journal;
 use crate::platform::PlatformState;
 use crate::process::{Process, product_binary, workbench_binary};
-use crate::shape::Shape;
+use crate::sample_inventory::Shape;
 use crate::status::{artifacts_of, copies, is_resident, live_vms, resident_copies};
-use crate::web;
 use rattanjunction::Inventory;
 use serde_json::{Value, json};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -212,7 +212,7 @@
         base: Option<u64>,
     ) -> Result<u64, (u16, Value)> {
         let body = json!({"base": base, "inventory": inventory});
-        match web::post(self.operator_address(vm), "/publish", &body).await {
+        match http_json::post(self.operator_address(vm), "/publish", &body).await {
             Some((status, answer)) if status.is_success() => {
                 Ok(answer["revision"].as_u64().unwrap_or(0))
             }
@@ -268,7 +268,7 @@
         self.wait_for(
             &format!("{address} answers"),
             Duration::from_secs(20),
-            async || web::get(address, path).await.is_some(),
+            async || http_json::get(address, path).await.is_some(),
         )
         .await;
     }
@@ -288,19 +288,19 @@
 
     /// A VM's status.
     pub async fn status(&self, vm: usize) -> Option<Value> {
-        web::get(self.operator_address(vm), "/status").await
+        http_json::get(self.operator_address(vm), "/status").await
     }
 
     /// Changes fields of the platform's state.
     pub async fn set_platform(&self, change: Value) {
-        web::post(self.platform_address(), "/state", &change)
+        http_json::post(self.platform_address(), "/state", &change)
             .await
             .expect("the platform answers");
     }
 
     /// The platform's journal.
     pub async fn platform_journal(&self) -> Vec<Value> {
-        let journal = web::get(self.platform_address(), "/journal").await;
+        let journal = http_json::get(self.platform_address(), "/journal").await;
         journal
             .and_then(|journal| journal.as_array().cloned())
             .unwrap_or_default()
@@ -327,7 +327,7 @@
 
     /// Lists VMs and backend servers, with some of them as leaving.
     pub async fn set_list(&self, leaving: &[String]) {
-        web::post(self.platform_address(), "/vms", &self.list(leaving))
+        http_json::post(self.platform_address(), "/vms", &self.list(leaving))
             .await
             .expect("the platform answers");
     }
--- a/workbench/src/demo.rs
+++ b/workbench/src/demo.rs
@@ -1,8 +1,8 @@
 //! The main job, from start to end: a site, real requests, a change and a kill.
 
-use crate::asker::{Asker, CallEnd, End, Outcome, Question, call};
 use crate::cluster::{Cluster, Plan};
-use crate::shape::Shape;
+use crate::load_client::{Asker, CallEnd, End, Outcome, Question, call};
+use crate::sample_inventory::Shape;
 use futures_util::future::join_all;
 use hdrhistogram::Histogram;
 use rattanjunction::Inventory;
--- a/workbench/src/engine.rs
+++ b/workbench/src/engine.rs
@@ -4,9 +4,9 @@
 //! says so. A request whose messages hold `CRASH` ends the process.
 
 use crate::answer::{Answer, artifact_key};
+use crate::http_json;
 use crate::journal::Journal;
 use crate::service::header;
-use crate::web;
 use bytes::Bytes;
 use futures_channel::{mpsc, oneshot};
 use hyper::body::Incoming;
@@ -162,7 +162,7 @@
     /// Serves until the process ends.
     pub async fn serve(self: Rc<Self>, address: SocketAddr) {
         compio::runtime::spawn(self.clone().batch()).detach();
-        web::serve(address, move |request| self.clone().handle(request)).await;
+        http_json::serve(address, move |request| self.clone().handle(request)).await;
     }
 
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
@@ -170,19 +170,19 @@
             (&Method::POST, "/v1/chat/completions") => self.complete(request).await,
             (&Method::POST, "/orders") => self.order(request).await,
             (&Method::POST, "/faults") => self.set_faults(request).await,
-            (&Method::GET, "/report") => web::ok(&self.report()),
-            (&Method::GET, "/journal") => web::ok(&self.journal.lines()),
-            _ => web::status(StatusCode::NOT_FOUND),
+            (&Method::GET, "/report") => http_json::ok(&self.report()),
+            (&Method::GET, "/journal") => http_json::ok(&self.journal.lines()),
+            _ => http_json::status(StatusCode::NOT_FOUND),
         }
     }
 
     async fn set_faults(&self, request: Request<Incoming>) -> Response<Body> {
-        match web::json_of::<EngineFaults>(request).await {
+        match http_json::json_of::<EngineFaults>(request).await {
             Some(faults) => {
                 *self.faults.borrow_mut() = faults;
-                web::ok(&json!({}))
+                http_json::ok(&json!({}))
             }
-            None => web::status(StatusCode::BAD_REQUEST),
+            None => http_json::status(StatusCode::BAD_REQUEST),
         }
     }
 
@@ -216,8 +216,8 @@
     }
 
     async fn order(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let Some(ordered) = web::json_of::<Ordered>(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let Some(ordered) = http_json::json_of::<Ordered>(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         let stale = self.shape.checks_fencing && ordered.fence < self.fence.get();
         let mut fields = json!({"order": ordered.order, "artifact": ordered.artifact,
@@ -227,19 +227,19 @@
         }
         self.journal.note("order", fields);
         if stale {
-            return web::status(StatusCode::CONFLICT);
+            return http_json::status(StatusCode::CONFLICT);
         }
         let repeated = self.shape.checks_fencing && ordered.fence == self.fence.get();
         self.fence.set(self.fence.get().max(ordered.fence));
         if repeated {
-            return web::status(StatusCode::ACCEPTED);
+            return http_json::status(StatusCode::ACCEPTED);
         }
         match ordered.order.as_str() {
             "load" => self.load(ordered),
             "unload" => self.unload(ordered),
             _ => {}
         }
-        web::status(StatusCode::ACCEPTED)
+        http_json::status(StatusCode::ACCEPTED)
     }
 
     fn load(self: Rc<Self>, ordered: Ordered) {
@@ -256,7 +256,7 @@
         self.note_memory();
         compio::runtime::spawn(async move {
             let body = json!({"mib": ordered.mib});
-            while web::post(self.shape.store, "/weights", &body)
+            while http_json::post(self.shape.store, "/weights", &body)
                 .await
                 .is_none()
             {
@@ -295,11 +295,11 @@
 
     async fn complete(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         let id = header(&request, "x-request-id");
-        let Some(body) = web::json_of::<Value>(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let Some(body) = http_json::json_of::<Value>(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         let Some(name) = body["model"].as_str() else {
-            return web::status(StatusCode::BAD_REQUEST);
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         let version = body["version"].as_str().unwrap_or_default();
         let (needs, key) = match body["adapter_version"].as_str() {
@@ -319,11 +319,11 @@
             }
         };
         if !self.are_ready(&needs) {
-            return web::status(StatusCode::NOT_FOUND);
+            return http_json::status(StatusCode::NOT_FOUND);
         }
         if self.faults.borrow().refuse {
             self.journal.note("refused", json!({"request": id}));
-            return web::status(StatusCode::SERVICE_UNAVAILABLE);
+            return http_json::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let from = body["resume_from_token"].as_u64().unwrap_or(0) as u32;
         self.journal
--- a/workbench/src/experiment.rs
+++ b/workbench/src/experiment.rs
@@ -1,10 +1,10 @@
 //! Experiments: real VMs and stand-in engines under an agency's load, by policy.
 
-use crate::asker::{Asker, End, Outcome, Question};
 use crate::cluster::{Cluster, Plan};
 use crate::journal::now_ms;
+use crate::load_client::{Asker, End, Outcome, Question};
 use crate::report::{Costs, PolicyReport, Sample};
-use crate::shape::Shape;
+use crate::sample_inventory::Shape;
 use crate::traffic::{Arrival, Class, Traffic};
 use compio::time::{sleep, timeout};
 use futures_util::future::join_all;
--- a/workbench/src/overhead.rs
+++ b/workbench/src/overhead.rs
@@ -1,8 +1,8 @@
 //! What one VM adds: time against asking the engine directly, and tokens a core.
 
-use crate::asker::{Asker, End, Outcome, Question};
 use crate::cluster::{Cluster, Plan};
-use crate::shape::Shape;
+use crate::load_client::{Asker, End, Outcome, Question};
+use crate::sample_inventory::Shape;
 use crate::usage;
 use futures_util::future::join_all;
 use hdrhistogram::Histogram;
--- a/workbench/src/platform.rs
+++ b/workbench/src/platform.rs
@@ -1,7 +1,7 @@
 //! Stand-ins of the platform: the log, the VM list and the weight store.
 
+use crate::http_json;
 use crate::journal::{Journal, now_ms};
-use crate::web;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use rattanjunction::Body;
@@ -150,7 +150,7 @@
 
     /// Serves until the process ends.
     pub async fn serve(self: Rc<Self>, address: SocketAddr) {
-        web::serve(address, move |request| self.clone().handle(request)).await;
+        http_json::serve(address, move |request| self.clone().handle(request)).await;
     }
 
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
@@ -162,17 +162,17 @@
             (&Method::GET, ["vms"]) => self.list(),
             (&Method::POST, ["vms"]) => self.set_list(request).await,
             (&Method::POST, ["weights"]) => self.load(request).await,
-            (&Method::GET, ["state"]) => web::ok(&*self.state.borrow()),
+            (&Method::GET, ["state"]) => http_json::ok(&*self.state.borrow()),
             (&Method::POST, ["state"]) => self.set_state(request).await,
-            (&Method::GET, ["journal"]) => web::ok(&self.journal.lines()),
-            _ => web::status(StatusCode::NOT_FOUND),
+            (&Method::GET, ["journal"]) => http_json::ok(&self.journal.lines()),
+            _ => http_json::status(StatusCode::NOT_FOUND),
         }
     }
 
     /// Takes over the fields that the body names; the others stay.
     async fn set_state(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(change) = web::json_of::<Value>(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let Some(change) = http_json::json_of::<Value>(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         let mut state = json!(*self.state.borrow());
         for (field, value) in change.as_object().into_iter().flatten() {
@@ -181,9 +181,9 @@
         match serde_json::from_value(state) {
             Ok(state) => {
                 *self.state.borrow_mut() = state;
-                web::ok(&json!({}))
+                http_json::ok(&json!({}))
             }
-            Err(_) => web::status(StatusCode::BAD_REQUEST),
+            Err(_) => http_json::status(StatusCode::BAD_REQUEST),
         }
     }
 
@@ -195,20 +195,20 @@
         self.state
             .borrow()
             .log_down
-            .then(|| web::status(StatusCode::SERVICE_UNAVAILABLE))
+            .then(|| http_json::status(StatusCode::SERVICE_UNAVAILABLE))
     }
 
     async fn append(&self, stream: &str, request: Request<Incoming>) -> Response<Body> {
         if let Some(fault) = self.log_fault().await {
             return fault;
         }
-        let Some(data) = web::json_of::<Box<RawValue>>(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let Some(data) = http_json::json_of::<Box<RawValue>>(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         if !self.take_append() {
             self.journal
                 .note("append_refused", json!({"stream": stream}));
-            return web::status(StatusCode::TOO_MANY_REQUESTS);
+            return http_json::status(StatusCode::TOO_MANY_REQUESTS);
         }
         let append_ms = self.state.borrow().append_ms;
         compio::time::sleep(Duration::from_millis(append_ms)).await;
@@ -227,7 +227,7 @@
         if self.state.borrow().lose_append_answers {
             compio::time::sleep(NO_ANSWER).await;
         }
-        web::ok(&json!({"offset": offset}))
+        http_json::ok(&json!({"offset": offset}))
     }
 
     fn take_append(&self) -> bool {
@@ -246,9 +246,9 @@
     }
 
     async fn read(&self, stream: &str, request: &Request<Incoming>) -> Response<Body> {
-        let from: u64 = web::query(request, "from").unwrap_or(0);
-        let limit = web::query(request, "limit").unwrap_or(PAGE_RECORDS);
-        let wait = Duration::from_millis(web::query(request, "wait_ms").unwrap_or(0));
+        let from: u64 = http_json::query(request, "from").unwrap_or(0);
+        let limit = http_json::query(request, "limit").unwrap_or(PAGE_RECORDS);
+        let wait = Duration::from_millis(http_json::query(request, "wait_ms").unwrap_or(0));
         let start = Instant::now();
         loop {
             if let Some(fault) = self.log_fault().await {
@@ -260,7 +260,7 @@
                     .as_array()
                     .is_some_and(|records| !records.is_empty());
             if has_news || start.elapsed() >= wait {
-                return web::ok(&page);
+                return http_json::ok(&page);
             }
             compio::time::sleep(READ_POLL).await;
         }
@@ -293,7 +293,7 @@
     fn list(&self) -> Response<Body> {
         let state = self.state.borrow();
         if state.list_down {
-            return web::status(StatusCode::SERVICE_UNAVAILABLE);
+            return http_json::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let lag = Duration::from_millis(state.list_lag_ms);
         let vms = self.vms.borrow();
@@ -303,22 +303,22 @@
         let list = seen
             .or(vms.first())
             .map_or_else(|| json!([]), |(_, list)| list.clone());
-        web::ok(&list)
+        http_json::ok(&list)
     }
 
     async fn set_list(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(list) = web::json_of::<Value>(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let Some(list) = http_json::json_of::<Value>(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         self.journal.note("vms", json!({"list": list}));
         self.vms.borrow_mut().push((Instant::now(), list));
-        web::ok(&json!({}))
+        http_json::ok(&json!({}))
     }
 
     /// Holds the call for as long as the load takes.
     async fn load(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(body) = web::json_of::<Value>(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let Some(body) = http_json::json_of::<Value>(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         let mib = body["mib"].as_f64().unwrap_or(0.0);
         let _open = Counted::new(&self.open_loads);
@@ -338,6 +338,6 @@
         let speed = state.load_mib_per_s * f64::from(state.loads_at_once) / over;
         compio::time::sleep(Duration::from_secs_f64(mib / speed)).await;
         self.journal.note("load", json!({"mib": mib}));
-        web::ok(&json!({}))
+        http_json::ok(&json!({}))
     }
 }
--- a/workbench/src/service.rs
+++ b/workbench/src/service.rs
@@ -1,7 +1,7 @@
 //! A stand-in of a plain service, such as receipts or bookings.
 
+use crate::http_json;
 use crate::journal::Journal;
-use crate::web;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use rattanjunction::Body;
@@ -34,26 +34,26 @@
 
     /// Serves until the process ends.
     pub async fn serve(self: Rc<Self>, address: SocketAddr) {
-        web::serve(address, move |request| self.clone().handle(request)).await;
+        http_json::serve(address, move |request| self.clone().handle(request)).await;
     }
 
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         if request.uri().path() == "/journal" {
-            return web::ok(&self.journal.lines());
+            return http_json::ok(&self.journal.lines());
         }
         if request.method() == Method::GET {
-            return web::ok(&json!({"service": self.name, "path": request.uri().path()}));
+            return http_json::ok(&json!({"service": self.name, "path": request.uri().path()}));
         }
         let path = request.uri().path().to_owned();
         let id = header(&request, "x-request-id");
-        let body: Value = web::json_of(request).await.unwrap_or(Value::Null);
+        let body: Value = http_json::json_of(request).await.unwrap_or(Value::Null);
         // Noted at the start: from here on the call has run.
         self.journal
             .note("run", json!({"path": path, "request": id, "body": body}));
         self.runs.set(self.runs.get() + 1);
         let number = self.runs.get();
         compio::time::sleep(self.delay).await;
-        web::ok(&json!({"service": self.name, "number": number, "body": body}))
+        http_json::ok(&json!({"service": self.name, "number": number, "body": body}))
     }
 }
 
--- a/workbench/src/site/store.rs
+++ b/workbench/src/site/store.rs
@@ -1,6 +1,6 @@
 //! A stand-in of the platform's store: a log with keyed topics and groups.
 
-use crate::web;
+use crate::http_json;
 use bytes::{Buf, Bytes};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -131,7 +131,7 @@
             compio::time::sleep(NO_ANSWER).await;
         }
         if self.faults.get().is_down {
-            return web::status(StatusCode::SERVICE_UNAVAILABLE);
+            return http_json::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let is_write = *request.method() == Method::POST;
         let answer = match path.as_str() {
@@ -139,15 +139,15 @@
             "/-/log-read" => self.read(&request).await,
             "/-/log-append" => self.take_append(request).await,
             "/-/log-join" if self.faults.get().refuses_joins => {
-                web::status(StatusCode::SERVICE_UNAVAILABLE)
+                http_json::status(StatusCode::SERVICE_UNAVAILABLE)
             }
             "/-/log-join" => self.join(request).await,
             "/-/log-leave" => self.leave(request).await,
             "/-/log-owners" if self.faults.get().hides_owners => {
-                web::status(StatusCode::SERVICE_UNAVAILABLE)
+                http_json::status(StatusCode::SERVICE_UNAVAILABLE)
             }
             "/-/log-owners" => self.owners(&request),
-            _ => web::status(StatusCode::NOT_FOUND),
+            _ => http_json::status(StatusCode::NOT_FOUND),
         };
         if is_write && self.faults.get().loses_answers {
             compio::time::sleep(NO_ANSWER).await;
@@ -156,7 +156,7 @@
     }
 
     fn newest(&self, request: &Request<Incoming>) -> Response<Body> {
-        let topic: String = web::query(request, "topic").unwrap_or_default();
+        let topic: String = http_json::query(request, "topic").unwrap_or_default();
         let topics = self.topics.borrow();
         let records = topics.get(&topic).map_or(&[][..], |topic| &topic.records);
         let mut newest: BTreeMap<String, (usize, Bytes)> = BTreeMap::new();
@@ -174,20 +174,20 @@
                 json!({"key": key, "value": base64(&value), "offset": offset})
             })
             .collect();
-        web::ok(&json!({"items": items, "more_pages": false, "end": records.len()}))
+        http_json::ok(&json!({"items": items, "more_pages": false, "end": records.len()}))
     }
 
     async fn read(&self, request: &Request<Incoming>) -> Response<Body> {
-        let topic: String = web::query(request, "topic").unwrap_or_default();
-        let from: u64 = web::query(request, "from").unwrap_or(0);
-        let wait = Duration::from_millis(web::query(request, "wait_ms").unwrap_or(0));
+        let topic: String = http_json::query(request, "topic").unwrap_or_default();
+        let from: u64 = http_json::query(request, "from").unwrap_or(0);
+        let wait = Duration::from_millis(http_json::query(request, "wait_ms").unwrap_or(0));
         let began = Instant::now();
         loop {
             if self.faults.get().is_silent {
                 compio::time::sleep(NO_ANSWER).await;
             }
             if self.faults.get().is_down {
-                return web::status(StatusCode::SERVICE_UNAVAILABLE);
+                return http_json::status(StatusCode::SERVICE_UNAVAILABLE);
             }
             let (first, records) = {
                 let topics = self.topics.borrow();
@@ -215,10 +215,10 @@
     }
 
     async fn take_append(&self, request: Request<Incoming>) -> Response<Body> {
-        let topic: String = web::query(&request, "topic").unwrap_or_default();
-        let at: Option<u64> = web::query(&request, "at");
-        let Some(mut body) = web::body_of(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let topic: String = http_json::query(&request, "topic").unwrap_or_default();
+        let at: Option<u64> = http_json::query(&request, "at");
+        let Some(mut body) = http_json::body_of(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         let end = self.len(&topic) as u64;
         if at.is_some_and(|at| at != end) {
@@ -229,12 +229,12 @@
             let length = body.get_u32() as usize;
             self.append(&topic, body.split_to(length));
         }
-        web::ok(&json!({"offset": end, "end": self.len(&topic)}))
+        http_json::ok(&json!({"offset": end, "end": self.len(&topic)}))
     }
 
     async fn join(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(join) = web::json_of::<Join>(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let Some(join) = http_json::json_of::<Join>(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         let mut groups = self.groups.borrow_mut();
         let members = groups.entry(join.group).or_default();
@@ -249,23 +249,23 @@
         let parts: Vec<Value> = own
             .map(|(part, _)| json!([members.topic, part, 0]))
             .collect();
-        web::ok(&json!({"generation": members.generation, "parts": parts}))
+        http_json::ok(&json!({"generation": members.generation, "parts": parts}))
     }
 
     async fn leave(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(leave) = web::json_of::<Leave>(request).await else {
-            return web::status(StatusCode::BAD_REQUEST);
+        let Some(leave) = http_json::json_of::<Leave>(request).await else {
+            return http_json::status(StatusCode::BAD_REQUEST);
         };
         if let Some(members) = self.groups.borrow_mut().get_mut(&leave.group)
             && members.alive.remove(&leave.member).is_some()
         {
             members.generation += 1;
         }
-        web::ok(&json!({}))
+        http_json::ok(&json!({}))
     }
 
     fn owners(&self, request: &Request<Incoming>) -> Response<Body> {
-        let group: String = web::query(request, "group").unwrap_or_default();
+        let group: String = http_json::query(request, "group").unwrap_or_default();
         let mut groups = self.groups.borrow_mut();
         let members = groups.entry(group).or_default();
         members.forget_silent();
@@ -273,7 +273,7 @@
         let parts: Vec<Value> = dealt
             .map(|(part, member)| json!([members.topic, part, member, 0]))
             .collect();
-        web::ok(&json!({"parts": parts}))
+        http_json::ok(&json!({"parts": parts}))
     }
 }
 
--- a/workbench/src/soak.rs
+++ b/workbench/src/soak.rs
@@ -3,11 +3,11 @@
 //! Afterwards everything is healed, and every promise is checked from the
 //! journals of the stand-ins and from what the callers saw.
 
-use crate::asker::{Asker, CallEnd, End, Question, call_as};
 use crate::cluster::{Cluster, PROXY_PORT, Plan, platform_at, runner_at, server_at};
 use crate::demo::check_memory;
+use crate::load_client::{Asker, CallEnd, End, Question, call_as};
 use crate::proxy::{Faults, Proxy};
-use crate::shape::Shape;
+use crate::sample_inventory::Shape;
 use nix::sys::signal::Signal;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -260,7 +260,7 @@
         let body = json!({"base": null, "inventory": inventory});
         let vm = site.operators[rng.random_range(0..VMS)];
         // Whether it was accepted shows in the revisions.
-        let _ = crate::web::post(vm, "/publish", &body).await;
+        let _ = crate::http_json::post(vm, "/publish", &body).await;
         compio::time::sleep(Duration::from_millis(700)).await;
     }
 }
@@ -269,7 +269,7 @@
 async fn watch_revisions(site: Rc<Site>) {
     while !site.stop.get() {
         for (vm, operator) in site.operators.iter().enumerate() {
-            let status = crate::web::get(*operator, "/status").await;
+            let status = crate::http_json::get(*operator, "/status").await;
             let Some(revision) = status.and_then(|status| status["revision"].as_u64()) else {
                 continue;
             };
@@ -312,7 +312,7 @@
 
 async fn set_platform(site: &Site, change: Value) {
     let address = site.cluster.borrow().platform_address();
-    crate::web::post(address, "/state", &change)
+    crate::http_json::post(address, "/state", &change)
         .await
         .expect("the platform answers");
 }
@@ -378,7 +378,7 @@
 
 async fn set_list(site: &Site, list: &Value) {
     let address = site.cluster.borrow().platform_address();
-    crate::web::post(address, "/vms", list)
+    crate::http_json::post(address, "/vms", list)
         .await
         .expect("the platform answers");
 }
--- a/workbench/tests/answers.rs
+++ b/workbench/tests/answers.rs
@@ -10,14 +10,14 @@
 use std::rc::Rc;
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
-use workbench::asker::{Asker, End, Outcome, Question};
 use workbench::cluster::{
     Cluster, PLATFORM_PORT, PROXY_PORT, Plan, RUNNER_PORT, VM_PORT, block_on,
 };
 use workbench::engine::EngineFaults;
+use workbench::http_json;
+use workbench::load_client::{Asker, End, Outcome, Question};
 use workbench::proxy::{Faults, Proxy};
-use workbench::shape::Shape;
-use workbench::web;
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 /// Tokens of an answer that takes about a second.
@@ -111,7 +111,7 @@
 
     async fn set_faults(&self, faults: &EngineFaults) {
         for index in 0..3 {
-            web::post(self.cluster.runner_address(index), "/faults", faults)
+            http_json::post(self.cluster.runner_address(index), "/faults", faults)
                 .await
                 .expect("the engine answers");
         }
--- a/workbench/tests/configuration.rs
+++ b/workbench/tests/configuration.rs
@@ -7,11 +7,11 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use workbench::asker::{Asker, End, Question};
 use workbench::cluster::{Cluster, PROXY_PORT, Plan, block_on};
+use workbench::http_json;
+use workbench::load_client::{Asker, End, Question};
 use workbench::proxy::{Faults, Proxy};
-use workbench::shape::Shape;
-use workbench::web;
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 /// In force everywhere after acceptance, by the brief.
@@ -49,7 +49,7 @@
 
 /// The deadline by which an inventory of this test is known on a VM.
 async fn deadline_in_force(cluster: &Cluster, vm: usize) -> u64 {
-    let inventory = web::get(cluster.operator_address(vm), "/inventory").await;
+    let inventory = http_json::get(cluster.operator_address(vm), "/inventory").await;
     inventory
         .and_then(|answer| answer["inventory"]["callers"][0]["deadline_ms"].as_u64())
         .unwrap_or(0)
@@ -75,7 +75,7 @@
 /// The offset from which on the log still keeps the control stream, and its end.
 async fn log_bounds(cluster: &Cluster) -> (u64, u64) {
     let path = "/streams/control/records?from=0&wait_ms=0";
-    let page = web::get(cluster.platform_address(), path).await;
+    let page = http_json::get(cluster.platform_address(), path).await;
     let page = page.expect("the log answers");
     (
         page["first"].as_u64().unwrap_or(0),
@@ -380,7 +380,7 @@
         }
         cluster
             .wait_for("the loss is told", LIMIT, async || {
-                let health = web::get(cluster.operator_address(0), "/health").await;
+                let health = http_json::get(cluster.operator_address(0), "/health").await;
                 health.is_some_and(|health| health["warnings"].to_string().contains("not known"))
             })
             .await;
@@ -388,12 +388,12 @@
         let refused = refused.expect_err("nothing is known").0;
         expect_that!(refused, eq(503));
         let body = json!({"start_anew": true, "inventory": &cluster.inventory});
-        let answer = web::post(cluster.operator_address(0), "/publish", &body).await;
+        let answer = http_json::post(cluster.operator_address(0), "/publish", &body).await;
         let (_, answer) = answer.expect("an answer");
         let revision = answer["revision"].as_u64().expect("it is accepted");
         wait_in_force(&cluster, revision, IN_FORCE).await;
         wait_serving(&cluster, 2, LIMIT).await;
-        let again = web::post(cluster.operator_address(1), "/publish", &body).await;
+        let again = http_json::post(cluster.operator_address(1), "/publish", &body).await;
         expect_that!(again.expect("an answer").0.as_u16(), eq(409));
     });
 }
@@ -442,7 +442,7 @@
 /// All that the control stream holds.
 async fn log_of(cluster: &Cluster) -> String {
     let path = "/streams/control/records?from=0&wait_ms=0";
-    let page = web::get(cluster.platform_address(), path).await;
+    let page = http_json::get(cluster.platform_address(), path).await;
     page.unwrap_or(Value::Null).to_string()
 }
 
--- a/workbench/tests/decisions.rs
+++ b/workbench/tests/decisions.rs
@@ -3,9 +3,9 @@
 use futures_util::future::join_all;
 use googletest::prelude::*;
 use std::time::Duration;
-use workbench::asker::{Asker, End, Outcome, Question};
 use workbench::cluster::{Cluster, Plan, block_on};
-use workbench::shape::Shape;
+use workbench::load_client::{Asker, End, Outcome, Question};
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 const SLOTS: u32 = 4;
--- a/workbench/tests/idempotency.rs
+++ b/workbench/tests/idempotency.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use workbench::cluster::{Cluster, PLATFORM_PORT, PROXY_PORT, Plan, SERVER_PORT, block_on};
 use workbench::journal::now_ms;
-use workbench::keyed::{CallAnswer, KeyedCall, Ledger, exchange, runs, runs_by_key};
+use workbench::keyed_calls::{CallAnswer, KeyedCall, Ledger, exchange, runs, runs_by_key};
 use workbench::proxy::{Faults, Proxy};
-use workbench::shape::Shape;
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 /// Longer than a claim may take and a held request lingers.
@@ -88,7 +88,8 @@
         for vm in 0..3 {
             self.cluster
                 .wait_for("every VM is ready", LIMIT, async || {
-                    let health = workbench::web::get(self.cluster.operator_address(vm), "/health");
+                    let health =
+                        workbench::http_json::get(self.cluster.operator_address(vm), "/health");
                     health.await.is_some_and(|health| health["ready"] == true)
                 })
                 .await;
--- a/workbench/tests/leaving.rs
+++ b/workbench/tests/leaving.rs
@@ -5,12 +5,12 @@
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::time::Duration;
-use workbench::asker::{Asker, CallEnd, End, Question, call};
 use workbench::cluster::{Cluster, PROXY_PORT, Plan, block_on};
+use workbench::http_json;
 use workbench::journal::now_ms;
+use workbench::load_client::{Asker, CallEnd, End, Question, call};
 use workbench::proxy::{Faults, Proxy};
-use workbench::shape::Shape;
-use workbench::web;
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 /// After this time nothing new may come, by the brief.
@@ -256,7 +256,7 @@
 
 /// The warnings in a VM's health answer, which stays good.
 async fn warnings(cluster: &Cluster) -> String {
-    let health = web::get(cluster.operator_address(0), "/health").await;
+    let health = http_json::get(cluster.operator_address(0), "/health").await;
     let health = health.expect("the VM answers");
     expect_that!(health["ready"], eq(&json!(true)));
     let warnings = health["warnings"].as_array().cloned().unwrap_or_default();
--- a/workbench/tests/memory.rs
+++ b/workbench/tests/memory.rs
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 use workbench::cluster::{Cluster, PROXY_PORT, Plan, block_on};
+use workbench::http_json;
 use workbench::proxy::{Faults, Proxy};
-use workbench::shape::Shape;
+use workbench::sample_inventory::Shape;
 use workbench::status::is_resident;
-use workbench::web;
 
 const LIMIT: Duration = Duration::from_secs(30);
 /// Memory of one model: three fit on a runner.
@@ -219,7 +219,7 @@
         let address = self.cluster.runner_address(runner);
         self.cluster
             .wait_for("the engine takes the order", LIMIT, async || {
-                web::post(address, "/orders", order).await.is_some()
+                http_json::post(address, "/orders", order).await.is_some()
             })
             .await;
     }
@@ -285,7 +285,7 @@
         let mut records = Vec::new();
         loop {
             let path = format!("/streams/control/records?from={}", records.len());
-            let page = web::get(self.cluster.platform_address(), &path).await;
+            let page = http_json::get(self.cluster.platform_address(), &path).await;
             let page = page.expect("the log answers");
             let found = page["records"].as_array().cloned().unwrap_or_default();
             if found.is_empty() {
--- a/workbench/tests/operators.rs
+++ b/workbench/tests/operators.rs
@@ -6,10 +6,10 @@
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
-use workbench::asker::{Asker, Question, call};
 use workbench::cluster::{Cluster, Plan, block_on};
+use workbench::load_client::{Asker, Question, call};
 use workbench::process::product_binary;
-use workbench::shape::Shape;
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 
@@ -84,14 +84,14 @@
 
 async fn log_end(cluster: &Cluster) -> u64 {
     let path = "/streams/control/records?from=0&wait_ms=0";
-    let page = workbench::web::get(cluster.platform_address(), path).await;
+    let page = workbench::http_json::get(cluster.platform_address(), path).await;
     page.and_then(|page| page["end"].as_u64()).unwrap_or(0)
 }
 
 /// Publications in the log from an offset on.
 async fn published(cluster: &Cluster, from: u64) -> usize {
     let path = format!("/streams/control/records?from={from}&wait_ms=0");
-    let page = workbench::web::get(cluster.platform_address(), &path).await;
+    let page = workbench::http_json::get(cluster.platform_address(), &path).await;
     let text = page.expect("the log answers").to_string();
     text.matches("\"Publish\"").count() + text.matches("\"Amend\"").count()
 }
@@ -140,7 +140,7 @@
 
 /// The revision and the inventory in force on a VM.
 async fn in_force(cluster: &Cluster, vm: usize) -> Value {
-    let answer = workbench::web::get(cluster.operator_address(vm), "/inventory").await;
+    let answer = workbench::http_json::get(cluster.operator_address(vm), "/inventory").await;
     let answer = answer.unwrap_or_default();
     json!([answer["revision"], answer["inventory"]])
 }
@@ -148,7 +148,7 @@
 /// The size of the first publication's record from an offset on.
 async fn record_bytes(cluster: &Cluster, from: u64) -> usize {
     let path = format!("/streams/control/records?from={from}&wait_ms=0");
-    let page = workbench::web::get(cluster.platform_address(), &path).await;
+    let page = workbench::http_json::get(cluster.platform_address(), &path).await;
     let page = page.expect("the log answers");
     let records = page["records"].as_array().into_iter().flatten();
     let mut sizes = records
--- a/workbench/tests/path.rs
+++ b/workbench/tests/path.rs
@@ -4,10 +4,10 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 use std::time::Duration;
-use workbench::asker::{Asker, CallEnd, End, Question, call};
 use workbench::cluster::{Cluster, Plan, block_on};
-use workbench::shape::Shape;
-use workbench::web;
+use workbench::http_json;
+use workbench::load_client::{Asker, CallEnd, End, Question, call};
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 
@@ -66,7 +66,8 @@
             eq(&(413, "too_large".into()))
         );
         let address = cluster.caller_address(0);
-        let malformed = web::post(address, "/v1/chat/completions", &json!({"model": 1})).await;
+        let malformed =
+            http_json::post(address, "/v1/chat/completions", &json!({"model": 1})).await;
         let (status, answer) = malformed.expect("an answer");
         expect_that!(status.as_u16(), eq(400));
         expect_that!(answer["error"]["code"], eq(&json!("malformed")));
@@ -115,7 +116,7 @@
             let path = "/health";
             cluster
                 .wait_for("the health answer fails", LIMIT, async || {
-                    web::get(operator, path)
+                    http_json::get(operator, path)
                         .await
                         .is_none_or(|health| health["leaving"] == true)
                 })
--- a/workbench/tests/poison.rs
+++ b/workbench/tests/poison.rs
@@ -5,11 +5,11 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::Duration;
-use workbench::asker::{Asker, End, Outcome, Question};
 use workbench::cluster::{Cluster, Plan, block_on};
 use workbench::engine::EngineFaults;
-use workbench::shape::Shape;
-use workbench::web;
+use workbench::http_json;
+use workbench::load_client::{Asker, End, Outcome, Question};
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 /// Runners that one request may crash, over all VMs and resends.
@@ -145,7 +145,7 @@
         ..EngineFaults::default()
     };
     for index in runners {
-        web::post(cluster.runner_address(index), "/faults", &faults)
+        http_json::post(cluster.runner_address(index), "/faults", &faults)
             .await
             .expect("the engine answers");
     }
--- a/workbench/tests/reachability.rs
+++ b/workbench/tests/reachability.rs
@@ -12,11 +12,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use workbench::asker::{Asker, End, Question};
 use workbench::cluster::{Cluster, Plan, block_on};
-use workbench::shape::Shape;
+use workbench::http_json;
+use workbench::load_client::{Asker, End, Question};
+use workbench::sample_inventory::Shape;
 use workbench::status::is_resident;
-use workbench::web;
 
 const LIMIT: Duration = Duration::from_secs(30);
 /// The deadline of each probe: that of an urgent caller.
@@ -359,7 +359,7 @@
         prober.start(&cluster);
         prober.wait_answers(&cluster, "1", 3).await;
         let late = json!({"order": "unload", "artifact": "model-0@1", "fence": 1, "by_test": true});
-        let given = web::post(cluster.runner_address(0), "/orders", &late).await;
+        let given = http_json::post(cluster.runner_address(0), "/orders", &late).await;
         expect_that!(given, some(anything()));
         cluster
             .wait_for("the engine loads again", LIMIT, async || {
--- a/workbench/tests/shutdown.rs
+++ b/workbench/tests/shutdown.rs
@@ -6,10 +6,10 @@
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::time::{Duration, Instant};
-use workbench::asker::{Asker, End, Outcome, Question};
 use workbench::cluster::{Cluster, Plan, block_on};
+use workbench::load_client::{Asker, End, Outcome, Question};
 use workbench::process::Process;
-use workbench::shape::Shape;
+use workbench::sample_inventory::Shape;
 
 const LIMIT: Duration = Duration::from_secs(30);
 /// How soon a successor must plan in place of a VM that leaves.
