--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -23,19 +23,19 @@
 
 /// How a request was sent to a runner.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sending {
+pub(crate) struct Dispatch {
     pub(crate) at: Instant,
     /// Whether it met no other prompt there and a free place, as far as was known.
-    pub(crate) is_alone: bool,
+    pub(crate) is_uncontended: bool,
 }
 
 /// One request under way.
 #[derive(Debug)]
 pub(crate) struct Call {
-    pub(crate) ask: Ask,
+    pub(crate) request: Ask,
     pub(crate) cost: Cost,
     /// The last sending.
-    pub(crate) sending: Option<Sending>,
+    pub(crate) last_dispatch: Option<Dispatch>,
     pub(crate) route: Rc<Route>,
     /// The caller's organisation, where the configuration has any.
     pub(crate) organisation: Option<Rc<Organisation>>,
@@ -49,7 +49,7 @@
     /// Servers that may have begun it.
     pub(crate) runs: u32,
     /// Whether a retry was taken from the budget and not used yet.
-    pub(crate) has_retry: Cell<bool>,
+    pub(crate) has_reserved_retry: Cell<bool>,
     /// Servers that refused it without running it.
     pub(crate) refused: u32,
     /// Servers that it was sent to.
@@ -69,7 +69,7 @@
 
     /// The weights that it needs; plain calls need none.
     pub(crate) fn weights(&self) -> Option<Weights> {
-        let generation = self.ask.generation.as_ref()?;
+        let generation = self.request.generation.as_ref()?;
         Some(Weights {
             model: generation.model.clone(),
             adapter: generation.adapter.clone(),
@@ -78,7 +78,7 @@
 
     /// The model that it asks for; empty for plain calls.
     pub(crate) fn model(&self) -> Name {
-        let generation = self.ask.generation.as_ref();
+        let generation = self.request.generation.as_ref();
         generation.map_or_else(Name::default, |generation| generation.model.clone())
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// The times that bear on its beginning.
-    pub(crate) fn patience(&self) -> Patience {
+    pub(crate) fn timing(&self) -> Patience {
         Patience {
             arrived: self.arrived,
             target: Duration::from_millis(self.route.target_latency_ms),
@@ -114,15 +114,15 @@
     }
 
     /// How long its prompt is read.
-    pub(crate) fn read_time(&self) -> Duration {
+    pub(crate) fn prefill_time(&self) -> Duration {
         Duration::from_secs_f64(self.cost.read_ms / 1_000.0)
     }
 
     /// Until when it may be held: its caller must not have left, and the answer must fit in.
     pub(crate) fn hold_until(&self) -> Instant {
-        let answer = Duration::from_secs_f64(self.cost.stream_ms / 1_000.0) + self.read_time();
+        let answer = Duration::from_secs_f64(self.cost.stream_ms / 1_000.0) + self.prefill_time();
         let latest = self.deadline.checked_sub(answer).unwrap_or(self.arrived);
-        self.patience().limit().min(latest).max(self.arrived)
+        self.timing().limit().min(latest).max(self.arrived)
     }
 
     /// How long it may be held in all.
@@ -131,12 +131,12 @@
     }
 
     /// Whether no server has begun it, and its caller has nothing of an answer yet.
-    pub(crate) fn is_new(&self) -> bool {
-        self.runs == 0 && self.ask.last_event.is_none()
+    pub(crate) fn is_unstarted(&self) -> bool {
+        self.runs == 0 && self.request.last_event.is_none()
     }
 
     /// The failure once its time is up.
-    pub(crate) fn late(&self) -> Failure {
+    pub(crate) fn timeout_failure(&self) -> Failure {
         if self.runs > 0 {
             Failure::TimedOut
         } else {
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -21,16 +21,16 @@
 const UNACKED_LIMIT: Duration = Duration::from_millis(1_500);
 /// The part of a server's idle timeout during which a connection is used again: one that
 /// is closed just as a request is sent leaves it open whether the request ran.
-const KEPT_SHARE: f64 = 0.7;
+const REUSE_SHARE: f64 = 0.7;
 /// How long an idle connection is used again where the server names no timeout.
-const KEPT_UNTOLD: Duration = Duration::from_millis(300);
+const DEFAULT_REUSE_TIME: Duration = Duration::from_millis(300);
 /// Idle connections kept for one server.
 const MAX_IDLE: usize = 16;
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    usable_until: Instant,
 }
 
 /// The head of an answer with its body under way.
@@ -50,12 +50,12 @@
 
 /// The connections of this VM to backend servers.
 #[derive(Debug)]
-pub(crate) struct Links {
+pub(crate) struct ConnectionPool {
     opened: Counter,
-    idle: RefCell<HashMap<Incarnation, Vec<Idle>>>,
+    idle: RefCell<HashMap<Incarnation, Vec<IdleConnection>>>,
 }
 
-impl Links {
+impl ConnectionPool {
     /// No connections yet; counts those that it opens.
     pub(crate) fn new(opened: Counter) -> Self {
         Self {
@@ -106,12 +106,15 @@
         }
         let kept = reply
             .keep_alive
-            .map_or(KEPT_UNTOLD, |timeout| timeout.mul_f64(KEPT_SHARE));
+            .map_or(DEFAULT_REUSE_TIME, |timeout| timeout.mul_f64(REUSE_SHARE));
         let mut idle = self.idle.borrow_mut();
         let idle = idle.entry(server.incarnation()).or_default();
         if idle.len() < MAX_IDLE {
-            let until = Instant::now() + kept;
-            idle.push(Idle { connection, until });
+            let usable_until = Instant::now() + kept;
+            idle.push(IdleConnection {
+                connection,
+                usable_until,
+            });
         }
     }
 
@@ -119,13 +122,13 @@
     pub(crate) fn has_idle(&self, server: &Server, now: Instant) -> bool {
         let idle = self.idle.borrow();
         let mut kept = idle.get(&server.incarnation()).into_iter().flatten();
-        kept.any(|kept| now < kept.until && kept.connection.is_ready())
+        kept.any(|kept| now < kept.usable_until && kept.connection.is_ready())
     }
 
     /// Drops the connections to servers that are gone, and those idle for too long.
-    pub(crate) fn clean(&self, is_listed: impl Fn(&Incarnation) -> bool, now: Instant) {
+    pub(crate) fn remove_stale(&self, is_listed: impl Fn(&Incarnation) -> bool, now: Instant) {
         self.idle.borrow_mut().retain(|run, idle| {
-            idle.retain(|idle| now < idle.until && !idle.connection.is_closed());
+            idle.retain(|idle| now < idle.usable_until && !idle.connection.is_closed());
             is_listed(run) && !idle.is_empty()
         });
     }
@@ -140,7 +143,7 @@
         let idle = idle.get_mut(&server.incarnation())?;
         let now = Instant::now();
         while let Some(kept) = idle.pop() {
-            if now < kept.until && kept.connection.is_ready() {
+            if now < kept.usable_until && kept.connection.is_ready() {
                 return Some(kept.connection);
             }
         }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -2,8 +2,8 @@
 
 use crate::client::{SendError, is_refused};
 use crate::gateway::budget::{Allowance, RetryBudget};
-use crate::gateway::call::{Call, Sending};
-use crate::gateway::exchange::{Exchange, Links};
+use crate::gateway::call::{Call, Dispatch};
+use crate::gateway::exchange::{ConnectionPool, Exchange};
 use crate::gateway::failure::Failure;
 use crate::gateway::fleet::Server;
 use crate::gateway::grant::Grant;
@@ -25,21 +25,21 @@
 
 /// How long the head of an answer to an idempotent call may take before another server is
 /// asked: far above a plain service's slowest calls, below what callers wait.
-const HEAD_PATIENCE: Duration = Duration::from_millis(500);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same for a stream, whose head may wait for its first token.
-const STREAM_HEAD_PATIENCE: Duration = Duration::from_millis(1_300);
+const STREAM_HEAD_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// Prompts that wait for less time than this, in milliseconds, hardly hold up the next one.
-const ALONE_WAIT_MS: f64 = 2.0;
+const NEGLIGIBLE_QUEUE_MS: f64 = 2.0;
 /// How long a caller is taken to wait that does not tell.
-const UNTOLD_PATIENCE: Duration = Duration::from_secs(6);
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(6);
 /// Servers that refuse one request before it is given back.
-const MAX_REFUSED: u32 = 3;
+const MAX_REFUSALS: u32 = 3;
 
 /// Passes requests on.
 pub(crate) struct Relay<P> {
     pub(crate) state: Rc<State>,
-    pub(crate) links: Links,
-    pub(crate) turns: Rc<Turns>,
+    pub(crate) pool: ConnectionPool,
+    pub(crate) queue: Rc<Turns>,
     budget: RetryBudget,
     protocol: PhantomData<P>,
 }
@@ -54,8 +54,8 @@
             window: bounds.retry_window,
         });
         Self {
-            links: Links::new(state.metrics.connections_opened.clone()),
-            turns: Rc::default(),
+            pool: ConnectionPool::new(state.metrics.connections_opened.clone()),
+            queue: Rc::default(),
             state,
             budget,
             protocol: PhantomData,
@@ -63,26 +63,26 @@
     }
 
     /// Answers one request.
-    pub(crate) async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
+    pub(crate) async fn handle(self: Rc<Self>, incoming: Request<Incoming>) -> Response<Body> {
         let arrived = Instant::now();
-        let (head, body) = request.into_parts();
-        let ask = match P::read_ask(&head) {
-            Ok(ask) => ask,
+        let (head, body) = incoming.into_parts();
+        let request = match P::read_caller_request(&head) {
+            Ok(request) => request,
             Err(Malformed(why)) => {
                 warn!(why, "request malformed");
-                return P::refuse(Failure::Malformed(why).refusal(UNTOLD_PATIENCE));
+                return P::refuse(Failure::Malformed(why).refusal(DEFAULT_CALLER_TIMEOUT));
             }
         };
-        let id = ask.id.clone();
-        let patience = ask.patience.unwrap_or(UNTOLD_PATIENCE);
-        let model = ask.generation.as_ref().map(|it| it.model.clone());
+        let id = request.id.clone();
+        let caller_timeout = request.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let model = request.generation.as_ref().map(|it| it.model.clone());
         let model = model.unwrap_or_default();
-        match self.clone().answer(ask, body, arrived).await {
+        match self.clone().answer(request, body, arrived).await {
             Ok(response) => response,
             Err(failure) => {
                 let age = arrived.elapsed();
                 let age_ms = age.as_millis() as u64;
-                let refusal = failure.refusal(patience.saturating_sub(age));
+                let refusal = failure.refusal(caller_timeout.saturating_sub(age));
                 self.state.metrics.note_request("none", failure.name());
                 info!(request = %id, %model, ?failure, status = refusal.status.as_u16(), age_ms, "request refused");
                 P::refuse(refusal)
@@ -92,24 +92,24 @@
 
     async fn answer(
         self: Rc<Self>,
-        ask: Ask,
+        request: Ask,
         body: Incoming,
         arrived: Instant,
     ) -> Result<Response<Body>, Failure> {
-        let mut call = self.open_call(ask, body, arrived).await?;
+        let mut call = self.prepare_call(request, body, arrived).await?;
         if self.state.suspects.is_poison(call.fingerprint, arrived) {
             return Err(Failure::Poison);
         }
         match call.route.kind {
-            RouteKind::Streaming => self.stream(call).await,
-            RouteKind::Safe | RouteKind::Unsafe => self.plain(&mut call).await,
+            RouteKind::Streaming => self.answer_stream(call).await,
+            RouteKind::Safe | RouteKind::Unsafe => self.answer_plain(&mut call).await,
         }
     }
 
     /// Finds the route and reads the body.
-    async fn open_call(
+    async fn prepare_call(
         &self,
-        mut ask: Ask,
+        mut request: Ask,
         body: Incoming,
         arrived: Instant,
     ) -> Result<Call, Failure> {
@@ -118,33 +118,33 @@
             return Err(Failure::Unready);
         }
         let route = configuration
-            .route(&ask.host, ask.path.path())
+            .route(&request.host, request.path.path())
             .ok_or(Failure::NoRoute)?;
-        let organisation = configuration.organisation(route, ask.key.as_ref())?;
-        let grant = Grant::take(&self.state, &ask, organisation.as_deref(), arrived)?;
+        let organisation = configuration.organisation(route, request.key.as_ref())?;
+        let grant = Grant::take(&self.state, &request, organisation.as_deref(), arrived)?;
         let service = route
             .pick_target(rand::random())
             .ok_or(Failure::NoRoute)?
             .clone();
         let timeout = route.timeout();
         let deadline = arrived
-            + ask
+            + request
                 .patience
-                .map_or(timeout, |patience| patience.min(timeout));
+                .map_or(timeout, |caller_timeout| caller_timeout.min(timeout));
         let limit_bytes = configuration.limits.max_body_bytes;
         let reading = read_body(body, limit_bytes);
         let body = compio::time::timeout(deadline - arrived, reading).await;
-        ask.body = match body {
+        request.body = match body {
             Ok(Ok(body)) => body,
             Ok(Err(ReadError::TooLarge)) => return Err(Failure::TooLarge),
             Ok(Err(ReadError::Cut)) | Err(_) => return Err(Failure::BodyCut),
         };
-        let cost = ask.generation.as_ref().map(|it| self.state.cost(it));
+        let cost = request.generation.as_ref().map(|it| self.state.cost(it));
         let call = Call {
             cost: cost.unwrap_or_default(),
-            sending: None,
-            fingerprint: ask.fingerprint(),
-            ask,
+            last_dispatch: None,
+            fingerprint: request.fingerprint(),
+            request,
             route: route.clone(),
             organisation,
             grant,
@@ -152,7 +152,7 @@
             arrived,
             deadline,
             runs: 0,
-            has_retry: Cell::new(false),
+            has_reserved_retry: Cell::new(false),
             refused: 0,
             tried: Vec::new(),
         };
@@ -165,12 +165,12 @@
 
     /// Answers a call whose answer is held whole before it is passed on, so that one that
     /// breaks off can still be had elsewhere.
-    async fn plain(&self, call: &mut Call) -> Result<Response<Body>, Failure> {
-        let mut kept: Option<(response::Parts, Bytes)> = None;
+    async fn answer_plain(&self, call: &mut Call) -> Result<Response<Body>, Failure> {
+        let mut failed_answer: Option<(response::Parts, Bytes)> = None;
         loop {
-            let exchange = match self.reach(call, None, None).await {
+            let exchange = match self.send_until_answered(call, None, None).await {
                 Ok(exchange) => exchange,
-                Err(failure) => match kept {
+                Err(failure) => match failed_answer {
                     Some((head, body)) => return Ok(P::to_caller(&head, Body::full(body))),
                     None => return Err(failure),
                 },
@@ -183,7 +183,7 @@
             };
             let has_failed = head.status.is_server_error();
             if has_failed && call.may_run_again() {
-                kept = Some((head, body));
+                failed_answer = Some((head, body));
                 continue;
             }
             self.state.suspects.clear(call.fingerprint);
@@ -191,7 +191,7 @@
             metrics.note_request(call.route.kind.name(), "answered");
             metrics.answer.observe(call.arrived.elapsed().as_secs_f64());
             info!(
-                request = %call.ask.id,
+                request = %call.request.id,
                 route = %call.route.name,
                 status = head.status.as_u16(),
                 runs = call.runs,
@@ -215,12 +215,12 @@
             Ok(Ok(body)) => {
                 server.note_success();
                 let head = exchange.head.clone();
-                self.links.keep(exchange);
+                self.pool.keep(exchange);
                 Some((head, body.to_bytes()))
             }
             Ok(Err(error)) => {
-                warn!(request = %call.ask.id, server = %server.id, %error, "answer broken off");
-                self.note_broken(call, &server);
+                warn!(request = %call.request.id, server = %server.id, %error, "answer broken off");
+                self.note_broken_connection(call, &server);
                 None
             }
             Err(_elapsed) => None,
@@ -228,14 +228,14 @@
     }
 
     /// Notes a connection that broke with the request aboard.
-    pub(crate) fn note_broken(&self, call: &Call, server: &Rc<Server>) {
+    pub(crate) fn note_broken_connection(&self, call: &Call, server: &Rc<Server>) {
         let now = Instant::now();
         server.note_failure(now);
-        self.links.clear(server);
+        self.pool.clear(server);
         let state = self.state.clone();
         let server = server.clone();
         let fingerprint = call.fingerprint;
-        let id = call.ask.id.clone();
+        let id = call.request.id.clone();
         compio::runtime::spawn(async move {
             if is_refused(server.address).await {
                 let crashes = state.suspects.note_crash(fingerprint, now);
@@ -247,23 +247,23 @@
     }
 
     /// Sends the request until a server answers it.
-    pub(crate) async fn reach(
+    pub(crate) async fn send_until_answered(
         &self,
         call: &mut Call,
         last_event: Option<u64>,
-        weights: Option<u64>,
+        weights_version: Option<u64>,
     ) -> Result<Exchange, Failure> {
         loop {
             let server = self.server_for(call).await?;
             let is_retry = call.runs + call.refused > 0;
-            if is_retry && !self.take_retry(call) {
-                return Err(self.give_up(call));
+            if is_retry && !self.reserve_retry(call) {
+                return Err(self.final_failure(call));
             }
             if is_retry {
-                call.has_retry.set(false);
+                call.has_reserved_retry.set(false);
                 self.state.metrics.retries.inc();
             }
-            match self.send(call, &server, last_event, weights).await {
+            match self.send(call, &server, last_event, weights_version).await {
                 Ok(exchange) => return Ok(exchange),
                 Err(Some(failure)) => return Err(failure),
                 Err(None) => {}
@@ -272,25 +272,25 @@
     }
 
     /// Takes a retry from the budget for the call's next sending, unless it has one already.
-    fn take_retry(&self, call: &Call) -> bool {
-        if call.has_retry.get() {
+    fn reserve_retry(&self, call: &Call) -> bool {
+        if call.has_reserved_retry.get() {
             return true;
         }
         let now = Instant::now();
         let vms = self.state.peers.most_vms(now);
         let is_taken = self.budget.take(&call.service, vms, now);
-        call.has_retry.set(is_taken);
+        call.has_reserved_retry.set(is_taken);
         if !is_taken {
             self.state.metrics.retries_denied.inc();
-            info!(request = %call.ask.id, service = %call.service, ?vms, "retry budget spent");
+            info!(request = %call.request.id, service = %call.service, ?vms, "retry budget spent");
         }
         is_taken
     }
 
     /// Whether a server that is silent is left for another one. A retry is taken before, since
     /// without it the request could not go on there, and the silent server may yet answer.
-    pub(crate) fn may_leave(&self, call: &Call, silent: &Server) -> bool {
-        self.has_better(call, silent) && self.take_retry(call)
+    pub(crate) fn may_abandon(&self, call: &Call, silent: &Server) -> bool {
+        self.has_better_server(call, silent) && self.reserve_retry(call)
     }
 
     /// Sends the request once; `Err(None)` if another server may be asked.
@@ -299,38 +299,38 @@
         call: &mut Call,
         server: &Rc<Server>,
         last_event: Option<u64>,
-        weights: Option<u64>,
+        weights_version: Option<u64>,
     ) -> Result<Exchange, Option<Failure>> {
         let time_left = call.time_left();
         if time_left.is_zero() {
-            return Err(Some(call.late()));
+            return Err(Some(call.timeout_failure()));
         }
         let organisation = call.organisation.clone();
         let options = SendOptions {
             server: &server.id,
             time_left,
             priority: call.priority(),
-            last_event: last_event.or(call.ask.last_event),
-            weights,
+            last_event: last_event.or(call.request.last_event),
+            weights_version,
             organisation: organisation.as_ref().map(|it| it.name.as_str()),
         };
         call.tried.push(server.id.clone());
-        self.note_sending(call, server);
-        let request = || P::to_server(&call.ask, &options);
+        self.record_dispatch(call, server);
+        let request = || P::to_server(&call.request, &options);
         let sent_at = Instant::now();
-        let sent = self.links.exchange::<P>(server, call.model(), request);
+        let sent = self.pool.exchange::<P>(server, call.model(), request);
         let sent = self.await_head(call, server, sent).await;
         let now = Instant::now();
         match sent {
-            Some(Ok(exchange)) => self.judge(call, exchange, now),
+            Some(Ok(exchange)) => self.check_head(call, exchange, now),
             Some(Err(SendError::NotSent)) => {
                 server.note_failure(now);
                 self.state.metrics.note_attempt("not_reached");
-                warn!(request = %call.ask.id, server = %server.id, "server not reached");
+                warn!(request = %call.request.id, server = %server.id, "server not reached");
                 call.note_running(false);
                 call.refused += 1;
-                if call.refused >= MAX_REFUSED {
-                    return Err(Some(self.give_up(call)));
+                if call.refused >= MAX_REFUSALS {
+                    return Err(Some(self.final_failure(call)));
                 }
                 Err(None)
             }
@@ -339,10 +339,10 @@
                 self.state.metrics.note_attempt("no_answer");
                 let waited = sent_at.elapsed();
                 let waited_ms = waited.as_millis() as u64;
-                warn!(request = %call.ask.id, server = %server.id, waited_ms, "no answer from server");
+                warn!(request = %call.request.id, server = %server.id, waited_ms, "no answer from server");
                 if silent_or_broken.is_some() {
-                    self.note_broken(call, server);
-                } else if !self.is_loaded(server) {
+                    self.note_broken_connection(call, server);
+                } else if !self.is_busy(server) {
                     // A server that is busy may well be slow; one that is not is ill.
                     server.note_failure(now);
                 }
@@ -358,14 +358,15 @@
     }
 
     /// Counts the prompt at its runner, here and at peers.
-    fn note_sending(&self, call: &mut Call, server: &Server) {
+    fn record_dispatch(&self, call: &mut Call, server: &Server) {
         let now = Instant::now();
         call.note_running(true);
-        call.sending = Some(Sending {
+        call.last_dispatch = Some(Dispatch {
             at: now,
-            is_alone: server.backlog.wait_ms(now) < ALONE_WAIT_MS && !self.is_loaded(server),
+            is_uncontended: server.backlog.wait_ms(now) < NEGLIGIBLE_QUEUE_MS
+                && !self.is_busy(server),
         });
-        if call.ask.generation.is_some() {
+        if call.request.generation.is_some() {
             server.backlog.note(call.cost.read_ms, now);
             let peers = &self.state.peers;
             peers.tell_prompt(&server.id, call.cost.read_ms, now);
@@ -373,7 +374,7 @@
     }
 
     /// What the head of an answer means for the request.
-    fn judge(
+    fn check_head(
         &self,
         call: &mut Call,
         exchange: Exchange,
@@ -385,23 +386,24 @@
             .reply
             .request_id
             .as_ref()
-            .is_some_and(|id| *id != call.ask.id);
-        let is_refused = exchange.reply.is_not_run || status == StatusCode::MISDIRECTED_REQUEST;
+            .is_some_and(|id| *id != call.request.id);
+        let is_refused =
+            exchange.reply.is_not_executed || status == StatusCode::MISDIRECTED_REQUEST;
         if is_refused && !is_other {
             self.state.metrics.note_attempt("refused");
             self.note_refused(call, &exchange, now);
-            self.links.keep(exchange);
-            if call.refused >= MAX_REFUSED {
-                return Err(Some(self.give_up(call)));
+            self.pool.keep(exchange);
+            if call.refused >= MAX_REFUSALS {
+                return Err(Some(self.final_failure(call)));
             }
             return Err(None);
         }
         call.runs += 1;
         if is_other || (status.is_success() && !exchange.reply.is_signed) {
-            warn!(request = %call.ask.id, server = %server.id, is_other, "answer is not the request's");
+            warn!(request = %call.request.id, server = %server.id, is_other, "answer is not the request's");
             self.state.metrics.note_attempt("not_its_answer");
             server.note_failure(now);
-            self.links.clear(&server);
+            self.pool.clear(&server);
             if call.may_run_again() {
                 return Err(None);
             }
@@ -414,7 +416,7 @@
     fn note_refused(&self, call: &mut Call, exchange: &Exchange, now: Instant) {
         let server = &exchange.server;
         let status = exchange.head.status;
-        info!(request = %call.ask.id, server = %server.id, status = status.as_u16(), "server refused");
+        info!(request = %call.request.id, server = %server.id, status = status.as_u16(), "server refused");
         call.note_running(false);
         call.refused += 1;
         if status != StatusCode::MISDIRECTED_REQUEST {
@@ -429,7 +431,7 @@
     }
 
     /// The failure of a request that is not sent any more.
-    fn give_up(&self, call: &Call) -> Failure {
+    fn final_failure(&self, call: &Call) -> Failure {
         if call.runs > 0 {
             Failure::Unknown
         } else {
@@ -446,18 +448,18 @@
         head: impl Future<Output = Result<Exchange, SendError>>,
     ) -> Option<Result<Exchange, SendError>> {
         let mut head = pin!(head);
-        let patience = match call.route.kind {
-            RouteKind::Streaming => STREAM_HEAD_PATIENCE,
-            RouteKind::Safe | RouteKind::Unsafe => HEAD_PATIENCE,
+        let head_timeout = match call.route.kind {
+            RouteKind::Streaming => STREAM_HEAD_TIMEOUT,
+            RouteKind::Safe | RouteKind::Unsafe => HEAD_TIMEOUT,
         };
         loop {
-            let limit = call.time_left().min(patience);
+            let limit = call.time_left().min(head_timeout);
             if let Ok(head) = compio::time::timeout(limit, head.as_mut()).await {
                 return Some(head);
             }
             let is_last = call.runs + 1 >= call.route.max_attempts;
-            let may_ask = !is_last && call.route.is_repeatable();
-            if call.time_left().is_zero() || (may_ask && self.may_leave(call, server)) {
+            let may_resend = !is_last && call.route.is_repeatable();
+            if call.time_left().is_zero() || (may_resend && self.may_abandon(call, server)) {
                 return None;
             }
         }
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -14,10 +14,10 @@
 /// The load from which a server may be slow to answer, in requests for each slot.
 const BUSY_LOAD: f64 = 0.7;
 /// The longest time between two looks for a place.
-const PLACE_POLL: Duration = Duration::from_millis(40);
+const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// The longest time between two looks for a server that holds the model; each change of what
 /// servers hold brings one at once.
-const MODEL_POLL: Duration = Duration::from_millis(250);
+const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The least loaded server, with how it stands.
 struct Choice {
@@ -31,7 +31,7 @@
     /// Tells what decided.
     fn log(&self, call: &Call) {
         info!(
-            request = %call.ask.id,
+            request = %call.request.id,
             server = %self.server.id,
             model = %call.model(),
             organisation = call.organisation_name(),
@@ -56,22 +56,22 @@
     /// Those that can are full.
     Full,
     /// The server reads other prompts, or more urgent requests wait for it.
-    Reading(Choice),
+    Prefilling(Choice),
 }
 
 impl Obstacle {
     /// Until when the request is held.
     fn hold_limit(&self, call: &Call) -> Instant {
-        if call.ask.generation.is_none() {
+        if call.request.generation.is_none() {
             return call.arrived;
         }
         call.hold_until()
     }
 
     /// What becomes of the request at the end of its hold.
-    fn give_up(self, call: &Call) -> Result<Rc<Server>, Failure> {
+    fn resolve(self, call: &Call) -> Result<Rc<Server>, Failure> {
         match self {
-            Self::Reading(choice) => {
+            Self::Prefilling(choice) => {
                 choice.log(call);
                 Ok(choice.server)
             }
@@ -85,16 +85,16 @@
 impl<P: Protocol> Relay<P> {
     /// Whether a server that is silent is better left for another one: it is not just busy,
     /// or another one has places.
-    pub(super) fn has_better(&self, call: &Call, silent: &Server) -> bool {
+    pub(super) fn has_better_server(&self, call: &Call, silent: &Server) -> bool {
         let now = Instant::now();
-        let mut others = self.able(call, now);
+        let mut others = self.eligible_servers(call, now);
         others.retain(|other| other.id != silent.id && !call.tried.contains(&other.id));
         !others.is_empty()
-            && (!self.is_loaded(silent) || others.iter().any(|other| !self.is_loaded(other)))
+            && (!self.is_busy(silent) || others.iter().any(|other| !self.is_busy(other)))
     }
 
     /// Whether most places of a server are taken.
-    pub(crate) fn is_loaded(&self, server: &Server) -> bool {
+    pub(crate) fn is_busy(&self, server: &Server) -> bool {
         let in_flight = server.in_flight() + self.state.peers.in_flight(&server.id);
         f64::from(in_flight) >= BUSY_LOAD * server.with(|entry| f64::from(entry.slots))
     }
@@ -103,13 +103,13 @@
     /// model that is to be loaded.
     pub(crate) async fn server_for(&self, call: &Call) -> Result<Rc<Server>, Failure> {
         let mut waiting = None;
-        let mut turn = None;
+        let mut position = None;
         loop {
             let changed = self.state.changed.wait();
-            let obstacle = match self.look(call, turn.as_ref()) {
+            let obstacle = match self.try_select(call, position.as_ref()) {
                 Ok(server) => {
                     let waited = call.arrived.elapsed();
-                    if turn.is_some() {
+                    if position.is_some() {
                         self.state.metrics.place_wait.observe(waited.as_secs_f64());
                     }
                     return Ok(server);
@@ -120,19 +120,19 @@
             let left = limit.saturating_duration_since(Instant::now());
             // A VM that is about to end holds nothing that another one can serve.
             let is_leaving = self.state.shutdown.is_leaving();
-            if left.is_zero() || is_leaving || self.is_hopeless(call, &obstacle) {
-                return obstacle.give_up(call);
+            if left.is_zero() || is_leaving || self.exceeds_capacity(call, &obstacle) {
+                return obstacle.resolve(call);
             }
             if let Some(weights) = call.weights() {
-                let due = call.patience().due(call.read_time());
-                turn.get_or_insert_with(|| self.turns.enter(&weights, due));
+                let due = call.timing().due(call.prefill_time());
+                position.get_or_insert_with(|| self.queue.enter(&weights, due));
                 if matches!(obstacle, Obstacle::NoServer) {
                     waiting.get_or_insert_with(|| self.state.wait_for(&weights));
                 }
             }
             let poll = match obstacle {
-                Obstacle::NoServer => MODEL_POLL,
-                _ => PLACE_POLL.mul_f64(rand::random_range(0.5..1.0)),
+                Obstacle::NoServer => MODEL_POLL_INTERVAL,
+                _ => SLOT_POLL_INTERVAL.mul_f64(rand::random_range(0.5..1.0)),
             };
             // Whatever ends the wait, the next turn looks again.
             let _ = compio::time::timeout(left.min(poll), changed).await;
@@ -140,26 +140,26 @@
     }
 
     /// The server that the request can be sent to now.
-    fn look(&self, call: &Call, turn: Option<&Turn>) -> Result<Rc<Server>, Obstacle> {
+    fn try_select(&self, call: &Call, position: Option<&Turn>) -> Result<Rc<Server>, Obstacle> {
         let choice = self.pick(call).ok_or(Obstacle::NoServer)?;
         let candidate = &choice.candidate;
         // A stream that was begun goes on even where others have to wait.
-        let weights = call.weights().filter(|_| call.is_new());
+        let weights = call.weights().filter(|_| call.is_unstarted());
         if let Some(weights) = weights {
             if candidate.is_full() {
                 return Err(Obstacle::Full);
             }
             let max_pause_ms = call.route.max_pause_ms as f64;
             let now = Instant::now();
-            let is_next = match turn {
-                Some(turn) => turn.is_next(now),
+            let is_next = match position {
+                Some(position) => position.is_next(now),
                 None => {
-                    let due = call.patience().due(call.read_time());
-                    self.turns.is_first(&weights, due, now)
+                    let due = call.timing().due(call.prefill_time());
+                    self.queue.is_first(&weights, due, now)
                 }
             };
             if !is_next || candidate.is_reading(call.cost.read_ms, max_pause_ms) {
-                return Err(Obstacle::Reading(choice));
+                return Err(Obstacle::Prefilling(choice));
             }
         }
         choice.log(call);
@@ -167,20 +167,20 @@
     }
 
     /// Whether more requests wait for full servers than these take in until the hold ends.
-    fn is_hopeless(&self, call: &Call, obstacle: &Obstacle) -> bool {
+    fn exceeds_capacity(&self, call: &Call, obstacle: &Obstacle) -> bool {
         let (Obstacle::Full, Some(weights)) = (obstacle, call.weights()) else {
             return false;
         };
-        let slots = self.able(call, Instant::now());
+        let slots = self.eligible_servers(call, Instant::now());
         let slots: u32 = slots.iter().map(|it| it.with(|entry| entry.slots)).sum();
-        let taken_in = f64::from(slots) * call.hold_time().as_secs_f64() * 1_000.0
+        let capacity = f64::from(slots) * call.hold_time().as_secs_f64() * 1_000.0
             / call.cost.stream_ms.max(1.0);
-        let waiting = self.turns.count(&weights) * self.state.peers.vms();
-        waiting as f64 > taken_in
+        let waiting = self.queue.count(&weights) * self.state.peers.vms();
+        waiting as f64 > capacity
     }
 
     /// The servers that can serve the request.
-    fn able(&self, call: &Call, now: Instant) -> Vec<Rc<Server>> {
+    fn eligible_servers(&self, call: &Call, now: Instant) -> Vec<Rc<Server>> {
         let weights = call.weights();
         let mut servers = self.state.fleet.of_service(&call.service);
         servers.retain(|server| {
@@ -195,15 +195,15 @@
     /// The least loaded server that can serve the request.
     fn pick(&self, call: &Call) -> Option<Choice> {
         let now = Instant::now();
-        let servers = self.able(call, now);
+        let servers = self.eligible_servers(call, now);
         let candidates: Vec<Candidate> = servers
             .iter()
             .map(|server| self.candidate(call, server, now))
             .collect();
-        let place = choose(&candidates, rand::random)?;
+        let index = choose(&candidates, rand::random)?;
         Some(Choice {
-            server: servers[place].clone(),
-            candidate: candidates[place],
+            server: servers[index].clone(),
+            candidate: candidates[index],
             candidates: candidates.len(),
         })
     }
@@ -211,7 +211,7 @@
     fn candidate(&self, call: &Call, server: &Server, now: Instant) -> Candidate {
         let in_flight = server.in_flight() + self.state.peers.in_flight(&server.id);
         let zone = &self.state.settings.availability_zone;
-        let is_connected = self.links.has_idle(server, now);
+        let is_connected = self.pool.has_idle(server, now);
         server.with(|entry| Candidate {
             in_flight,
             slots: entry.slots,
@@ -219,7 +219,7 @@
             is_near: entry.availability_zone == *zone,
             is_far_late: self.state.peers.is_far_late(),
             is_connected,
-            is_brief: call.ask.generation.is_none(),
+            is_brief: call.request.generation.is_none(),
             has_failed: server.is_passed_over(now) || call.tried.contains(&server.id),
         })
     }
