--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -1,5 +1,5 @@
-//! What this role asks of the outside: callers, backend servers and the log, a small
-//! trait for each side.
+//! Interfaces between the gateway and the outside: the request protocol, the log and the runners,
+//! with one small trait for each.
 
 use crate::gateway::{Ask, Configuration, Entry};
 use crate::http::Body;
@@ -9,110 +9,111 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a request cannot be read.
+/// Why a caller's request cannot be parsed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Malformed(pub(crate) &'static str);
 
-/// What one sending to a backend server adds to the request.
+/// Options that are set each time a request is sent to a backend server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SendOptions<'a> {
-    /// The backend server that is meant; another one at its address refuses.
+    /// The intended backend server; a different one at the same address refuses the request.
     pub(crate) server: &'a str,
-    /// How long the backend server may work on it.
+    /// How long the backend server may work on the request.
     pub(crate) time_left: Duration,
-    /// The rank; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub(crate) priority: u32,
-    /// The last event that need not be sent again.
+    /// The last event that the caller has; the server resumes the stream after it.
     pub(crate) last_event: Option<u64>,
-    /// The version of the weights that a stream began with.
+    /// The version of the weights that the stream started with; a resumed stream must use the
+    /// same one.
     pub(crate) weights_version: Option<u64>,
-    /// The caller's organisation.
+    /// The name of the caller's organisation.
     pub(crate) organisation: Option<&'a str>,
 }
 
-/// What the head of a backend server's answer says beyond HTTP.
+/// Fields that a backend server's response head carries in addition to plain HTTP.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Reply {
-    /// The request that it answers.
+    /// The id of the request that the server answers.
     pub(crate) request_id: Option<Name>,
-    /// Whether it states that the request did not run.
+    /// Whether the server states that it did not execute the request.
     pub(crate) is_not_executed: bool,
-    /// The backend server that answered, where it tells.
+    /// The backend server that answered, if the response names it.
     pub(crate) server: Option<Name>,
-    /// Whether the backend server signed it.
+    /// Whether the backend server signed the response.
     pub(crate) is_signed: bool,
-    /// The version of the weights that a stream began with.
+    /// The version of the weights that the server used.
     pub(crate) weights_version: Option<u64>,
-    /// How long the connection may stay idle, where it tells.
+    /// The server's idle timeout for the connection, if the response gives one.
     pub(crate) keep_alive: Option<Duration>,
 }
 
-/// A failure of our own, as the caller is told.
+/// An error response that the gateway itself sends to a caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refusal {
-    /// The status.
+    /// The HTTP status.
     pub(crate) status: StatusCode,
-    /// When to come back.
+    /// The time after which the caller may retry.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// The protocol of requests, on the callers' side and on the backend servers'.
+/// The request protocol, towards callers and towards backend servers.
 pub(crate) trait Protocol: 'static {
-    /// Reads what a caller asks for; the body comes later.
+    /// Parses the head of a caller's request; the body is read later.
     fn read_caller_request(head: &request::Parts) -> Result<Ask, Malformed>;
 
-    /// The request as a backend server gets it.
+    /// Builds the request that is sent to a backend server.
     fn to_server(ask: &Ask, options: &SendOptions<'_>) -> Request<Body>;
 
-    /// Reads the head of a backend server's answer.
+    /// Parses the head of a backend server's response.
     fn read_reply(head: &response::Parts) -> Reply;
 
-    /// A backend server's answer as the caller gets it.
+    /// Builds the caller's response from a backend server's response.
     fn to_caller(head: &response::Parts, body: Body) -> Response<Body>;
 
-    /// A failure of our own as the caller gets it.
+    /// Builds the caller's response for a request that no server answered.
     fn refuse(refusal: Refusal) -> Response<Body>;
 }
 
-/// Why a call to the log gave nothing.
+/// Why a call to the log failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StoreError {
-    /// It answered that it did nothing, or was not reached.
+    /// The log rejected the call without effect, or could not be reached.
     Refused,
-    /// No answer came; a write may have taken effect or may yet.
+    /// No response arrived; a write may have taken effect or may still do so.
     Unanswered,
-    /// The records asked for are not kept any more.
+    /// The requested records have been compacted away.
     Compacted,
-    /// The condition of the call does not hold; the topic ends here.
+    /// The call's precondition failed; holds the topic's end offset.
     Conflict(u64),
-    /// The answer could not be read.
+    /// The response could not be parsed.
     Garbled,
 }
 
 /// Records read from a topic.
 #[derive(Clone, Debug)]
 pub(crate) struct Changes<T> {
-    /// What was read, oldest first.
+    /// The records, oldest first.
     pub(crate) items: Vec<T>,
-    /// The offset to go on from.
+    /// The offset at which to continue reading.
     pub(crate) next: u64,
 }
 
-/// A change of the directory of backend servers.
+/// A change to the directory of backend servers.
 #[derive(Clone, Debug)]
 pub(crate) enum ServerChange {
-    /// An entry is new or renewed.
+    /// An entry was added or renewed.
     Upserted(Entry),
-    /// The entry was taken away.
+    /// The entry of the named backend server was removed.
     Removed(Name),
 }
 
-/// Where the configuration comes from.
+/// The source of the configuration.
 pub(crate) trait ConfigSource: 'static {
-    /// The newest configuration.
+    /// Reads the latest configuration.
     fn newest(&self) -> impl Future<Output = Result<Changes<Configuration>, StoreError>>;
 
-    /// What changed from an offset on, waiting up to `wait` for a change.
+    /// Reads configurations from an offset on; waits up to `wait` for one to be written.
     fn changes(
         &self,
         from: u64,
@@ -120,39 +121,39 @@
     ) -> impl Future<Output = Result<Changes<Configuration>, StoreError>>;
 }
 
-/// Where backend servers enter themselves.
+/// The directory in which backend servers register themselves.
 pub(crate) trait Directory: 'static {
-    /// All entries.
+    /// Reads all entries.
     fn entries(&self) -> impl Future<Output = Result<Changes<ServerChange>, StoreError>>;
 
-    /// What changed from an offset on.
+    /// Reads the changes from an offset on.
     fn changes_since(
         &self,
         from: u64,
     ) -> impl Future<Output = Result<Changes<ServerChange>, StoreError>>;
 }
 
-/// This process's place in the group of VMs.
+/// This process's membership in the group of VMs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Membership {
-    /// Grows with each change of the group.
+    /// The generation of the group; grows with each change of its members.
     pub(crate) generation: u64,
-    /// Whether this member is the one that is to lead.
+    /// Whether this member is the one that may claim leadership.
     pub(crate) is_first: bool,
 }
 
-/// Members of the group, as far as the log lists them.
+/// The members of the group that the log lists.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Members {
-    /// Their names.
+    /// The names of the members.
     pub(crate) names: Vec<Name>,
-    /// Whether the list has room for more, so that these are all.
+    /// Whether `names` is complete: the list still had free entries.
     pub(crate) is_complete: bool,
 }
 
 /// The group of all VMs.
 pub(crate) trait Group: 'static {
-    /// Joins, or stays a member for another `ttl`.
+    /// Joins the group, or renews the membership for another `ttl`.
     fn join(
         &self,
         member: &str,
@@ -163,67 +164,72 @@
     /// Leaves the group.
     fn leave(&self, member: &str) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Members; not all of a large group.
+    /// Lists members; for a large group the list may be incomplete.
     fn members(&self) -> impl Future<Output = Result<Members, StoreError>>;
 }
 
-/// The order of claims on giving orders; a claim's place is its fence.
+/// The log of leadership claims; the offset of a claim determines its fencing token (fence).
 pub(crate) trait Claims: 'static {
-    /// Whether a claim came after the one with this fence.
+    /// Checks whether a later claim follows the one with this fence.
     fn has_later_claim(&self, fence: u64) -> impl Future<Output = Result<bool, StoreError>>;
 
-    /// Claims, if `place` is the next; returns the fence, or [`StoreError::Conflict`] with
-    /// the next place.
-    fn claim(&self, holder: &str, place: u64) -> impl Future<Output = Result<u64, StoreError>>;
+    /// Appends a leadership claim if `offset` is the end of the log; returns its fence.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`StoreError::Conflict`], which holds the end offset, if another record was
+    /// appended before.
+    fn claim(&self, leader: &str, offset: u64) -> impl Future<Output = Result<u64, StoreError>>;
 }
 
-/// What is loaded or dropped.
+/// Identifies the weights that are loaded or unloaded: a model, or an adapter of it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Weights {
     /// The model.
     pub(crate) model: Name,
-    /// The adapter over it; the model itself without one.
+    /// The adapter; `None` stands for the model itself.
     pub(crate) adapter: Option<Name>,
 }
 
-/// An order to a model runner.
+/// An order to a model runner to load or unload weights.
 #[derive(Clone, Debug)]
 pub(crate) struct Order<'a> {
-    /// The runner that is meant.
+    /// The intended runner.
     pub(crate) server: &'a str,
-    /// Whether to load; else to drop.
+    /// Whether the runner is to load the weights rather than unload them.
     pub(crate) is_load: bool,
-    /// What it is about.
+    /// The weights to load or unload.
     pub(crate) weights: &'a Weights,
-    /// The orders that the runner has accepted before, as the sender believes.
+    /// The number of orders that the sender expects the runner to have accepted before; the
+    /// runner rejects the order if its own count differs.
     pub(crate) expected_orders: Option<u64>,
-    /// Who gives it.
+    /// The name of the leader, which sends the order.
     pub(crate) holder: &'a str,
-    /// The holder's fence.
+    /// The leader's fence.
     pub(crate) fence: u64,
 }
 
-/// What became of an order.
+/// The result of sending an order to a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum OrderOutcome {
-    /// It is being carried out.
+    /// The runner accepted the order and is executing it.
     Accepted,
-    /// It holds already.
+    /// The runner's holdings already match the order.
     Held,
-    /// Another order is being carried out, or the runner's count differs.
+    /// The runner is executing another order, or its order count differs from the expected one.
     Busy,
-    /// A later holder has given orders.
+    /// The runner has received orders from a later leader.
     Fenced,
-    /// The runner does not know what it is about, or is another one.
+    /// The runner does not know the weights, or is not the intended runner.
     Invalid,
-    /// Nothing was sent.
+    /// The order was not sent.
     NotSent,
-    /// No answer came; it may be carried out yet.
+    /// No response arrived; the runner may still execute the order.
     Unanswered,
 }
 
 impl OrderOutcome {
-    /// The name in metrics.
+    /// The outcome's label value in metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -237,30 +243,31 @@
     }
 }
 
-/// A model runner's own account.
+/// A model runner's report on itself.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunnerReport {
-    /// The models that it holds, each with its adapters.
+    /// The models loaded on the runner, each with its adapters.
     pub(crate) holdings: Vec<crate::gateway::Holding>,
-    /// Whether an order is being carried out.
+    /// Whether the runner is executing an order.
     pub(crate) is_busy: bool,
-    /// Orders accepted since its start.
+    /// The number of orders accepted since the runner started.
     pub(crate) orders: u64,
-    /// When the server's process started, in Unix milliseconds.
+    /// When the runner's process started, in Unix milliseconds.
     pub(crate) started_ms: u64,
-    /// Adapters that are on their way to it.
+    /// Adapters that are on their way to the runner and not loaded yet.
     pub(crate) coming: Vec<Weights>,
 }
 
-/// The control side of model runners.
+/// The control interface of model runners.
 pub(crate) trait RunnerControl: 'static {
-    /// Asks the runner `server` for its account; another one at the address gives none.
+    /// Requests the report of the runner `server`; `None` if it cannot be read or a different
+    /// runner is at the address.
     fn report(
         &self,
         address: SocketAddr,
         server: &str,
     ) -> impl Future<Output = Option<RunnerReport>>;
 
-    /// Gives an order.
+    /// Sends an order to the runner at `address`.
     fn order(&self, address: SocketAddr, order: &Order<'_>) -> impl Future<Output = OrderOutcome>;
 }
