--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! One request under way.
+//! The state of one request in flight.
 
 use crate::callers::Organisation;
 use crate::gateway::failure::Failure;
@@ -10,64 +10,67 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a request costs a runner.
+/// The estimated cost of a request to a runner.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cost {
-    /// The time in which its prompt is read and nothing else goes on, in milliseconds.
+    /// The prefill time of the prompt, during which the runner does nothing else, in
+    /// milliseconds.
     pub(crate) read_ms: f64,
-    /// With it, its share of the time in which all streams go on, in milliseconds.
+    /// The prefill time plus the request's share of the time that the runner spends on decoding
+    /// all its streams, in milliseconds.
     pub(crate) busy_ms: f64,
-    /// How long its stream lasts from the first event on, in milliseconds.
+    /// The duration of the stream from its first event to its end, in milliseconds.
     pub(crate) stream_ms: f64,
 }
 
-/// How a request was sent to a runner.
+/// When and under which load a request was sent to a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Dispatch {
     pub(crate) at: Instant,
-    /// Whether it met no other prompt there and a free place, as far as was known.
+    /// Whether the server, as far as this VM knew, had hardly any queued prompts and was not busy.
     pub(crate) is_uncontended: bool,
 }
 
-/// One request under way.
+/// One request in flight, from its arrival to the end of its answer.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) request: Ask,
     pub(crate) cost: Cost,
-    /// The last sending.
+    /// When the request was last sent to a server, and under which load.
     pub(crate) last_dispatch: Option<Dispatch>,
     pub(crate) route: Rc<Route>,
-    /// The caller's organisation, where the configuration has any.
+    /// The caller's organisation, if the configuration defines organisations.
     pub(crate) organisation: Option<Rc<Organisation>>,
-    /// Its part of the organisation's quota, if that has any.
+    /// The request's share of the organisation's quota, if the organisation has one.
     pub(crate) grant: Option<Grant>,
     pub(crate) service: Name,
     pub(crate) arrived: Instant,
-    /// When the caller, or the operator, wants it ended.
+    /// The deadline: the earlier of the caller's and the route's.
     pub(crate) deadline: Instant,
     pub(crate) fingerprint: u64,
-    /// Servers that may have begun it.
+    /// The number of servers that may have started to execute the request.
     pub(crate) runs: u32,
-    /// Whether a retry was taken from the budget and not used yet.
+    /// Whether a retry is reserved from the budget and not used yet.
     pub(crate) has_reserved_retry: Cell<bool>,
-    /// Servers that refused it without running it.
+    /// The number of servers that refused the request or could not be reached, so that none of
+    /// them executed it.
     pub(crate) refused: u32,
-    /// Servers that it was sent to.
+    /// The ids of the servers that the request was sent to.
     pub(crate) tried: Vec<Name>,
 }
 
 impl Call {
-    /// The time that is left.
+    /// The time left until the deadline.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Whether it may be begun at one more server.
+    /// Whether one more server may execute the request.
     pub(crate) fn may_run_again(&self) -> bool {
         self.route.is_repeatable() && self.runs < self.route.max_attempts
     }
 
-    /// The weights that it needs; plain calls need none.
+    /// The weights that the request needs; `None` for requests to plain services.
     pub(crate) fn weights(&self) -> Option<Weights> {
         let generation = self.request.generation.as_ref()?;
         Some(Weights {
@@ -76,13 +79,14 @@
         })
     }
 
-    /// The model that it asks for; empty for plain calls.
+    /// The model that the request names; empty for requests to plain services.
     pub(crate) fn model(&self) -> Name {
         let generation = self.request.generation.as_ref();
         generation.map_or_else(Name::default, |generation| generation.model.clone())
     }
 
-    /// Notes whether a server may run it, or has: only then does it use up its grant.
+    /// Records whether a server may execute the request now or has executed it before; only then
+    /// does the request consume its quota.
     pub(crate) fn note_running(&mut self, may_run: bool) {
         let may_have_run = may_run || self.runs > 0;
         if let Some(grant) = &mut self.grant {
@@ -90,20 +94,20 @@
         }
     }
 
-    /// The name of the caller's organisation; empty where there is none.
+    /// The name of the caller's organisation; empty if there is none.
     pub(crate) fn organisation_name(&self) -> &str {
         let organisation = self.organisation.as_ref();
         organisation.map_or("", |organisation| organisation.name.as_str())
     }
 
-    /// Its rank; 0 is the most urgent.
+    /// The priority of the request; 0 is the most urgent.
     pub(crate) fn priority(&self) -> u32 {
         let organisation = self.organisation.as_ref();
         let own = organisation.and_then(|organisation| organisation.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// The times that bear on its beginning.
+    /// The times that limit when the request must be sent.
     pub(crate) fn timing(&self) -> Patience {
         Patience {
             arrived: self.arrived,
@@ -113,29 +117,31 @@
         }
     }
 
-    /// How long its prompt is read.
+    /// The estimated prefill time of the prompt.
     pub(crate) fn prefill_time(&self) -> Duration {
         Duration::from_secs_f64(self.cost.read_ms / 1_000.0)
     }
 
-    /// Until when it may be held: its caller must not have left, and the answer must fit in.
+    /// Until when the request may be held: early enough that the caller still waits and that the
+    /// answer is complete before the deadline.
     pub(crate) fn hold_until(&self) -> Instant {
         let answer = Duration::from_secs_f64(self.cost.stream_ms / 1_000.0) + self.prefill_time();
         let latest = self.deadline.checked_sub(answer).unwrap_or(self.arrived);
         self.timing().limit().min(latest).max(self.arrived)
     }
 
-    /// How long it may be held in all.
+    /// How long the request may be held, from its arrival.
     pub(crate) fn hold_time(&self) -> Duration {
         self.hold_until() - self.arrived
     }
 
-    /// Whether no server has begun it, and its caller has nothing of an answer yet.
+    /// Whether no server has started to execute the request and the caller has received no part
+    /// of an answer.
     pub(crate) fn is_unstarted(&self) -> bool {
         self.runs == 0 && self.request.last_event.is_none()
     }
 
-    /// The failure once its time is up.
+    /// The failure to report when the deadline has passed.
     pub(crate) fn timeout_failure(&self) -> Failure {
         if self.runs > 0 {
             Failure::TimedOut
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! One request sent to one backend server, and the connections kept for the next.
+//! Sending one request to one backend server, and the pool of idle connections.
 
 use crate::client::{Connection, SendError};
 use crate::gateway::fleet::{InFlight, Incarnation, Server};
@@ -14,17 +14,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a connection to a server may take; a lost opening packet is sent again only
-/// after a second, when another server has long been tried.
+/// How long opening a connection to a server may take. TCP retransmits a lost SYN only after a
+/// second, so trying another server is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long sent bytes may stay unacknowledged.
+/// How long sent bytes may stay unacknowledged before the connection counts as broken.
 const UNACKED_LIMIT: Duration = Duration::from_millis(1_500);
-/// The part of a server's idle timeout during which a connection is used again: one that
-/// is closed just as a request is sent leaves it open whether the request ran.
+/// The share of a server's idle timeout during which a connection is reused. If the server closes
+/// the connection while a request is being sent, it is unknown whether the request was executed.
 const REUSE_SHARE: f64 = 0.7;
-/// How long an idle connection is used again where the server names no timeout.
+/// How long an idle connection is reused if the server gives no idle timeout.
 const DEFAULT_REUSE_TIME: Duration = Duration::from_millis(300);
-/// Idle connections kept for one server.
+/// The maximum number of idle connections per server.
 const MAX_IDLE: usize = 16;
 
 #[derive(Debug)]
@@ -33,22 +33,22 @@
     usable_until: Instant,
 }
 
-/// The head of an answer with its body under way.
+/// A response whose head has arrived and whose body is still being received.
 #[derive(Debug)]
 pub(crate) struct Exchange {
-    /// The head.
+    /// The response head.
     pub(crate) head: response::Parts,
-    /// What the head says beyond HTTP.
+    /// The parsed protocol fields of the head.
     pub(crate) reply: Reply,
-    /// The body.
+    /// The response body.
     pub(crate) body: Incoming,
-    /// Who answers.
+    /// The server that answers.
     pub(crate) server: Rc<Server>,
     connection: Connection,
     _in_flight: InFlight,
 }
 
-/// The connections of this VM to backend servers.
+/// The pool of this VM's idle connections to backend servers.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     opened: Counter,
@@ -56,7 +56,7 @@
 }
 
 impl ConnectionPool {
-    /// No connections yet; counts those that it opens.
+    /// Creates an empty pool; `opened` counts the connections that it opens.
     pub(crate) fn new(opened: Counter) -> Self {
         Self {
             opened,
@@ -64,13 +64,14 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// Dropping the future cuts the connection, so that the server stops its work.
+    /// Dropping the future closes the connection, so that the server stops working on the request.
     ///
     /// # Errors
     ///
-    /// Tells whether the request can have reached the server.
+    /// Fails with [`SendError::NotSent`] if the request cannot have reached the server, else with
+    /// [`SendError::MaybeSent`].
     pub(crate) async fn exchange<P: Protocol>(
         &self,
         server: &Rc<Server>,
@@ -80,7 +81,7 @@
         let in_flight = server.enter(model);
         while let Some(mut connection) = self.take(server) {
             match connection.send(request()).await {
-                // It was closed before the request was written: another will do.
+                // The connection was closed before the request was written: try the next one.
                 Err(SendError::NotSent) => {}
                 Err(SendError::MaybeSent) => return Err(SendError::MaybeSent),
                 Ok(response) => {
@@ -93,7 +94,7 @@
         Ok(Exchange::new::<P>(server, connection, response, in_flight))
     }
 
-    /// Keeps the connection of an answer that was read to its end.
+    /// Returns the connection of a response that was read completely to the pool.
     pub(crate) fn keep(&self, exchange: Exchange) {
         let Exchange {
             connection,
@@ -104,13 +105,13 @@
         if connection.is_closed() {
             return;
         }
-        let kept = reply
+        let reuse_time = reply
             .keep_alive
             .map_or(DEFAULT_REUSE_TIME, |timeout| timeout.mul_f64(REUSE_SHARE));
         let mut idle = self.idle.borrow_mut();
         let idle = idle.entry(server.incarnation()).or_default();
         if idle.len() < MAX_IDLE {
-            let usable_until = Instant::now() + kept;
+            let usable_until = Instant::now() + reuse_time;
             idle.push(IdleConnection {
                 connection,
                 usable_until,
@@ -118,22 +119,23 @@
         }
     }
 
-    /// Whether a connection to a server can be used again.
+    /// Whether the pool has a reusable connection to a server.
     pub(crate) fn has_idle(&self, server: &Server, now: Instant) -> bool {
         let idle = self.idle.borrow();
         let mut kept = idle.get(&server.incarnation()).into_iter().flatten();
         kept.any(|kept| now < kept.usable_until && kept.connection.is_ready())
     }
 
-    /// Drops the connections to servers that are gone, and those idle for too long.
+    /// Drops connections that are closed, that were idle for too long, or whose server is no
+    /// longer listed.
     pub(crate) fn remove_stale(&self, is_listed: impl Fn(&Incarnation) -> bool, now: Instant) {
-        self.idle.borrow_mut().retain(|run, idle| {
+        self.idle.borrow_mut().retain(|incarnation, idle| {
             idle.retain(|idle| now < idle.usable_until && !idle.connection.is_closed());
-            is_listed(run) && !idle.is_empty()
+            is_listed(incarnation) && !idle.is_empty()
         });
     }
 
-    /// Drops the idle connections to a server, such as after one went silent.
+    /// Drops all idle connections to a server, for example after one of them stalled.
     pub(crate) fn clear(&self, server: &Server) {
         self.idle.borrow_mut().remove(&server.incarnation());
     }
