--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -1,4 +1,5 @@
-//! Finding the server for a request: who can take it, who has a place, what is waited for.
+//! Server selection for a request: which servers can serve it, which of them have free slots, and
+//! how long the request is held until one has.
 
 use crate::gateway::Protocol;
 use crate::gateway::call::Call;
@@ -11,24 +12,24 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// The load from which a server may be slow to answer, in requests for each slot.
+/// The load from which a server counts as busy and may answer slowly, in requests per slot.
 const BUSY_LOAD: f64 = 0.7;
-/// The longest time between two looks for a place.
+/// The longest interval between two checks for a free slot.
 const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// The longest time between two looks for a server that holds the model; each change of what
-/// servers hold brings one at once.
+/// The longest interval between two checks for a server that has the model loaded; each change in
+/// what servers have loaded triggers a check at once.
 const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The least loaded server, with how it stands.
+/// The selected server with the load figures that it was selected by.
 struct Choice {
     server: Rc<Server>,
     candidate: Candidate,
-    /// Servers that there were to choose from.
+    /// The number of eligible servers.
     candidates: usize,
 }
 
 impl Choice {
-    /// Tells what decided.
+    /// Logs the selection with the figures that decided it.
     fn log(&self, call: &Call) {
         info!(
             request = %call.request.id,
@@ -49,18 +50,18 @@
     }
 }
 
-/// Why a request is not sent now.
+/// Why a request cannot be sent yet.
 enum Obstacle {
-    /// No server can serve it.
+    /// No server can serve the request.
     NoServer,
-    /// Those that can are full.
+    /// All servers that can serve the request are full.
     Full,
-    /// The server reads other prompts, or more urgent requests wait for it.
+    /// The server has other prompts to prefill, or requests ahead in the queue wait for it.
     Prefilling(Choice),
 }
 
 impl Obstacle {
-    /// Until when the request is held.
+    /// Until when the request is held; requests to plain services are not held.
     fn hold_limit(&self, call: &Call) -> Instant {
         if call.request.generation.is_none() {
             return call.arrived;
@@ -68,7 +69,8 @@
         call.hold_until()
     }
 
-    /// What becomes of the request at the end of its hold.
+    /// Decides what happens to the request when its hold ends: it is sent even if prompts are
+    /// queued at the server, else it fails.
     fn resolve(self, call: &Call) -> Result<Rc<Server>, Failure> {
         match self {
             Self::Prefilling(choice) => {
@@ -83,8 +85,8 @@
 }
 
 impl<P: Protocol> Relay<P> {
-    /// Whether a server that is silent is better left for another one: it is not just busy,
-    /// or another one has places.
+    /// Whether an untried server is a better choice than a silent one: either the silent one is
+    /// not busy, so that load does not explain its silence, or an untried one is not busy.
     pub(super) fn has_better_server(&self, call: &Call, silent: &Server) -> bool {
         let now = Instant::now();
         let mut others = self.eligible_servers(call, now);
@@ -93,14 +95,14 @@
             && (!self.is_busy(silent) || others.iter().any(|other| !self.is_busy(other)))
     }
 
-    /// Whether most places of a server are taken.
+    /// Whether most slots of a server are in use.
     pub(crate) fn is_busy(&self, server: &Server) -> bool {
         let in_flight = server.in_flight() + self.state.peers.in_flight(&server.id);
         f64::from(in_flight) >= BUSY_LOAD * server.with(|entry| f64::from(entry.slots))
     }
 
-    /// The server to send to; waits for a place, for prompts that are read before, or for a
-    /// model that is to be loaded.
+    /// Selects the server to send to; waits for a free slot, for the prefill of queued prompts, or
+    /// for the model to be loaded.
     pub(crate) async fn server_for(&self, call: &Call) -> Result<Rc<Server>, Failure> {
         let mut waiting = None;
         let mut position = None;
@@ -118,7 +120,7 @@
             };
             let limit = obstacle.hold_limit(call);
             let left = limit.saturating_duration_since(Instant::now());
-            // A VM that is about to end holds nothing that another one can serve.
+            // A VM that is shutting down holds no requests that another VM can serve.
             let is_leaving = self.state.shutdown.is_leaving();
             if left.is_zero() || is_leaving || self.exceeds_capacity(call, &obstacle) {
                 return obstacle.resolve(call);
@@ -134,16 +136,16 @@
                 Obstacle::NoServer => MODEL_POLL_INTERVAL,
                 _ => SLOT_POLL_INTERVAL.mul_f64(rand::random_range(0.5..1.0)),
             };
-            // Whatever ends the wait, the next turn looks again.
+            // Whether notified or timed out, the next iteration checks again.
             let _ = compio::time::timeout(left.min(poll), changed).await;
         }
     }
 
-    /// The server that the request can be sent to now.
+    /// Selects the server that the request can be sent to now.
     fn try_select(&self, call: &Call, position: Option<&Turn>) -> Result<Rc<Server>, Obstacle> {
         let choice = self.pick(call).ok_or(Obstacle::NoServer)?;
         let candidate = &choice.candidate;
-        // A stream that was begun goes on even where others have to wait.
+        // A stream that has already started continues without waiting, even where others wait.
         let weights = call.weights().filter(|_| call.is_unstarted());
         if let Some(weights) = weights {
             if candidate.is_full() {
@@ -166,7 +168,7 @@
         Ok(choice.server)
     }
 
-    /// Whether more requests wait for full servers than these take in until the hold ends.
+    /// Whether more requests wait for the full servers than these can start until the hold ends.
     fn exceeds_capacity(&self, call: &Call, obstacle: &Obstacle) -> bool {
         let (Obstacle::Full, Some(weights)) = (obstacle, call.weights()) else {
             return false;
@@ -179,7 +181,7 @@
         waiting as f64 > capacity
     }
 
-    /// The servers that can serve the request.
+    /// The servers that are ready and, for a generation request, have the weights loaded.
     fn eligible_servers(&self, call: &Call, now: Instant) -> Vec<Rc<Server>> {
         let weights = call.weights();
         let mut servers = self.state.fleet.of_service(&call.service);
@@ -192,7 +194,7 @@
         servers
     }
 
-    /// The least loaded server that can serve the request.
+    /// Picks the best candidate, by load and penalties, among the eligible servers.
     fn pick(&self, call: &Call) -> Option<Choice> {
         let now = Instant::now();
         let servers = self.eligible_servers(call, now);
