--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,5 @@
-//! A caller's request, from its arrival to its answer.
+//! Handles a caller's request from its arrival to its answer: reads it, sends it to backend
+//! servers with retries, and returns the response.
 
 use crate::client::{SendError, is_refused};
 use crate::gateway::budget::{Allowance, RetryBudget};
@@ -23,19 +24,20 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// How long the head of an answer to an idempotent call may take before another server is
-/// asked: far above a plain service's slowest calls, below what callers wait.
+/// How long the response head of an idempotent call may take before another server is tried: far
+/// above the slowest calls of plain services, below what callers wait.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same for a stream, whose head may wait for its first token.
+/// The same for a stream, whose response head may arrive only with the first token.
 const STREAM_HEAD_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// Prompts that wait for less time than this, in milliseconds, hardly hold up the next one.
+/// A queue of prompts that takes less time than this, in milliseconds, hardly delays the next
+/// prompt.
 const NEGLIGIBLE_QUEUE_MS: f64 = 2.0;
-/// How long a caller is taken to wait that does not tell.
+/// The assumed timeout of a caller that sends none.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(6);
-/// Servers that refuse one request before it is given back.
+/// The number of refusals or failed connections after which a request fails.
 const MAX_REFUSALS: u32 = 3;
 
-/// Passes requests on.
+/// Forwards callers' requests to backend servers.
 pub(crate) struct Relay<P> {
     pub(crate) state: Rc<State>,
     pub(crate) pool: ConnectionPool,
@@ -45,7 +47,7 @@
 }
 
 impl<P: Protocol> Relay<P> {
-    /// A relay over what the VM believes.
+    /// Creates a relay over the VM's shared state.
     pub(crate) fn new(state: Rc<State>) -> Self {
         let bounds = &state.settings.bounds;
         let budget = RetryBudget::new(Allowance {
@@ -84,7 +86,14 @@
                 let age_ms = age.as_millis() as u64;
                 let refusal = failure.refusal(caller_timeout.saturating_sub(age));
                 self.state.metrics.note_request("none", failure.name());
-                info!(request = %id, %model, ?failure, status = refusal.status.as_u16(), age_ms, "request refused");
+                info!(
+                    request = %id,
+                    %model,
+                    ?failure,
+                    status = refusal.status.as_u16(),
+                    age_ms,
+                    "request refused"
+                );
                 P::refuse(refusal)
             }
         }
@@ -106,7 +115,7 @@
         }
     }
 
-    /// Finds the route and reads the body.
+    /// Finds the route, takes the request's share of the quota and reads the body.
     async fn prepare_call(
         &self,
         mut request: Ask,
@@ -163,8 +172,8 @@
         Ok(call)
     }
 
-    /// Answers a call whose answer is held whole before it is passed on, so that one that
-    /// breaks off can still be had elsewhere.
+    /// Answers a call whose response is buffered completely before it is forwarded, so that the
+    /// call can be retried on another server if the response is cut off.
     async fn answer_plain(&self, call: &mut Call) -> Result<Response<Body>, Failure> {
         let mut failed_answer: Option<(response::Parts, Bytes)> = None;
         loop {
@@ -203,7 +212,7 @@
         }
     }
 
-    /// Reads an answer to its end; `None` if it breaks off.
+    /// Reads a response to its end; `None` if the connection breaks or the deadline passes.
     async fn read_whole(
         &self,
         call: &Call,
@@ -227,7 +236,9 @@
         }
     }
 
-    /// Notes a connection that broke with the request aboard.
+    /// Records that a connection broke with the request in flight. If the server refuses new
+    /// connections, it has crashed, and the request's fingerprint becomes a crash suspect here and
+    /// at peers.
     pub(crate) fn note_broken_connection(&self, call: &Call, server: &Rc<Server>) {
         let now = Instant::now();
         server.note_failure(now);
@@ -246,7 +257,7 @@
         .detach();
     }
 
-    /// Sends the request until a server answers it.
+    /// Sends the request until a server answers; each further attempt uses a retry of the budget.
     pub(crate) async fn send_until_answered(
         &self,
         call: &mut Call,
@@ -271,7 +282,7 @@
         }
     }
 
-    /// Takes a retry from the budget for the call's next sending, unless it has one already.
+    /// Reserves a retry from the budget for the next attempt, unless the call has one reserved.
     fn reserve_retry(&self, call: &Call) -> bool {
         if call.has_reserved_retry.get() {
             return true;
@@ -287,13 +298,13 @@
         is_taken
     }
 
-    /// Whether a server that is silent is left for another one. A retry is taken before, since
-    /// without it the request could not go on there, and the silent server may yet answer.
+    /// Whether to abandon a silent server for another one. A retry is reserved first: without one
+    /// the request could not be sent to the other server, while the silent one may still answer.
     pub(crate) fn may_abandon(&self, call: &Call, silent: &Server) -> bool {
         self.has_better_server(call, silent) && self.reserve_retry(call)
     }
 
-    /// Sends the request once; `Err(None)` if another server may be asked.
+    /// Sends the request once; fails with `Err(None)` if another server may be tried.
     async fn send(
         &self,
         call: &mut Call,
@@ -339,11 +350,16 @@
                 self.state.metrics.note_attempt("no_answer");
                 let waited = sent_at.elapsed();
                 let waited_ms = waited.as_millis() as u64;
-                warn!(request = %call.request.id, server = %server.id, waited_ms, "no answer from server");
+                warn!(
+                    request = %call.request.id,
+                    server = %server.id,
+                    waited_ms,
+                    "no answer from server"
+                );
                 if silent_or_broken.is_some() {
                     self.note_broken_connection(call, server);
                 } else if !self.is_busy(server) {
-                    // A server that is busy may well be slow; one that is not is ill.
+                    // Load may explain a busy server's silence; any other silent server is faulty.
                     server.note_failure(now);
                 }
                 if call.time_left().is_zero() {
@@ -357,7 +373,7 @@
         }
     }
 
-    /// Counts the prompt at its runner, here and at peers.
+    /// Records the dispatch, and adds the prompt to the runner's queue here and at peers.
     fn record_dispatch(&self, call: &mut Call, server: &Server) {
         let now = Instant::now();
         call.note_running(true);
@@ -373,7 +389,8 @@
         }
     }
 
-    /// What the head of an answer means for the request.
+    /// Checks a response head: whether the server refused the request, answered a different one,
+    /// or sent a valid response.
     fn check_head(
         &self,
         call: &mut Call,
@@ -400,7 +417,12 @@
         }
         call.runs += 1;
         if is_other || (status.is_success() && !exchange.reply.is_signed) {
-            warn!(request = %call.request.id, server = %server.id, is_other, "answer is not the request's");
+            warn!(
+                request = %call.request.id,
+                server = %server.id,
+                is_other,
+                "answer does not match request"
+            );
             self.state.metrics.note_attempt("not_its_answer");
             server.note_failure(now);
             self.pool.clear(&server);
@@ -416,7 +438,12 @@
     fn note_refused(&self, call: &mut Call, exchange: &Exchange, now: Instant) {
         let server = &exchange.server;
         let status = exchange.head.status;
-        info!(request = %call.request.id, server = %server.id, status = status.as_u16(), "server refused");
+        info!(
+            request = %call.request.id,
+            server = %server.id,
+            status = status.as_u16(),
+            "server refused"
+        );
         call.note_running(false);
         call.refused += 1;
         if status != StatusCode::MISDIRECTED_REQUEST {
@@ -430,7 +457,7 @@
         }
     }
 
-    /// The failure of a request that is not sent any more.
+    /// The failure of a request that is not sent again.
     fn final_failure(&self, call: &Call) -> Failure {
         if call.runs > 0 {
             Failure::Unknown
@@ -439,8 +466,8 @@
         }
     }
 
-    /// Waits for the head of an answer; `None` once another server is to be asked instead,
-    /// or the time is up.
+    /// Waits for the response head; `None` once another server is to be tried instead, or the
+    /// deadline has passed.
     async fn await_head(
         &self,
         call: &Call,
--- a/src/gateway/streaming.rs
+++ b/src/gateway/streaming.rs
@@ -1,4 +1,4 @@
-//! A stream of events to a caller, over as many servers as it takes.
+//! Forwards a stream of events to a caller and resumes it on another server if one fails.
 
 use crate::gateway::Protocol;
 use crate::gateway::call::Call;
@@ -13,13 +13,14 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Events that wait for a caller that reads slowly; then the server is not read either.
+/// The number of events buffered for a slow caller; while the buffer is full, the server's stream
+/// is not read.
 const MAX_BUFFERED_EVENTS: usize = 8;
-/// How long a server may be silent in mid-stream before the stream goes on elsewhere:
-/// callers give up after two seconds.
+/// How long a server may send nothing in the middle of a stream before the stream is resumed on
+/// another server: callers give up after two seconds.
 const MAX_SILENCE: Duration = Duration::from_millis(1_200);
 
-/// How a server's stream went on.
+/// The result of reading from a server's stream.
 enum ReadOutcome {
     Event(StreamEvent),
     End,
@@ -27,7 +28,7 @@
     Broken(&'static str),
 }
 
-/// A stream under way from one server.
+/// A stream in flight from one server.
 struct ServerStream {
     exchange: Exchange,
     buffer: EventBuffer,
@@ -50,7 +51,7 @@
             match frame {
                 Err(_elapsed) => return ReadOutcome::Silent,
                 Ok(None) if self.buffer.is_empty() => return ReadOutcome::End,
-                Ok(None) => return ReadOutcome::Broken("ends in mid-event"),
+                Ok(None) => return ReadOutcome::Broken("ended in the middle of an event"),
                 Ok(Some(Err(_cut))) => return ReadOutcome::Broken("cut"),
                 Ok(Some(Ok(frame))) => {
                     let data = frame.data_ref();
@@ -63,7 +64,7 @@
     }
 }
 
-/// How a stream has gone so far.
+/// Timing of the events that a caller's stream has delivered so far.
 struct StreamProgress {
     arrived: Instant,
     last_at: Option<Instant>,
@@ -94,7 +95,7 @@
 }
 
 impl<P: Protocol> Relay<P> {
-    /// Answers a request by a stream; returns once the first event has come.
+    /// Answers a request with a stream; returns once the first event has arrived.
     pub(crate) async fn answer_stream(
         self: Rc<Self>,
         mut call: Call,
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Learns how fast the model is read from a first event that nothing held up.
+    /// Updates the estimate of the model's prefill time from a first event that was not delayed
+    /// by other requests.
     fn learn_prefill_time(&self, call: &Call) {
         let configuration = self.state.configuration();
         let (Some(dispatch), Some(generation), Some(configuration)) =
@@ -141,14 +143,15 @@
         }
     }
 
-    /// Learns how long a model's streams last from one that came whole from one runner.
+    /// Updates the estimate of the model's stream duration from a stream that one runner
+    /// delivered completely.
     fn learn_stream_duration(&self, call: &Call, progress: &StreamProgress) {
         let configuration = self.state.configuration();
         let (Some(generation), Some(configuration)) = (&call.request.generation, configuration)
         else {
             return;
         };
-        // Among many others it would last longer than the model takes.
+        // Concurrent streams would make this one longer than the model alone takes.
         let is_uncontended = call
             .last_dispatch
             .is_some_and(|dispatch| dispatch.is_uncontended);
@@ -172,11 +175,15 @@
     ) -> Result<Response<Body>, Failure> {
         let body = exchange.body.collect().await;
         let body = body.map_err(|_cut| Failure::Unknown)?;
-        info!(request = %call.request.id, status = exchange.head.status.as_u16(), "stream refused by server");
+        info!(
+            request = %call.request.id,
+            status = exchange.head.status.as_u16(),
+            "stream refused by server"
+        );
         Ok(P::to_caller(&exchange.head, Body::full(body.to_bytes())))
     }
 
-    /// Passes the stream on in a task that ends with the caller's connection.
+    /// Forwards the stream in a task that ends with the caller's connection.
     fn start_forwarding(
         self: Rc<Self>,
         call: Call,
@@ -257,7 +264,7 @@
         self.pool.keep(stream.exchange);
     }
 
-    /// Goes on with a broken stream at another server; `None` if that cannot be.
+    /// Resumes a broken stream on another server; `None` if that is not possible.
     async fn resume(
         &self,
         call: &mut Call,
@@ -273,7 +280,14 @@
                 .request
                 .patience
                 .map(|patience| patience.as_millis() as u64);
-            info!(request = %call.request.id, runs = call.runs, age_ms, timeout_ms, patience_ms, "stream broken off");
+            info!(
+                request = %call.request.id,
+                runs = call.runs,
+                age_ms,
+                timeout_ms,
+                patience_ms,
+                "stream broken off"
+            );
             return None;
         }
         match self
@@ -282,11 +296,20 @@
         {
             Ok(exchange) if exchange.head.status.is_success() => {
                 self.state.metrics.streams_resumed.inc();
-                info!(request = %call.request.id, server = %exchange.server.id, last = ?last_event, "stream resumed");
+                info!(
+                    request = %call.request.id,
+                    server = %exchange.server.id,
+                    last = ?last_event,
+                    "stream resumed"
+                );
                 Some(ServerStream::new(exchange))
             }
             Ok(exchange) => {
-                warn!(request = %call.request.id, status = exchange.head.status.as_u16(), "stream not resumed");
+                warn!(
+                    request = %call.request.id,
+                    status = exchange.head.status.as_u16(),
+                    "stream not resumed"
+                );
                 None
             }
             Err(failure) => {
@@ -305,7 +328,8 @@
         self.note_broken_connection(call, server);
     }
 
-    /// What comes next; silence only where another server is better or the time is up.
+    /// Reads the next event; reports silence only if the stream is to be resumed on another server
+    /// or the deadline has passed.
     async fn next_read(&self, call: &Call, stream: &mut ServerStream) -> ReadOutcome {
         loop {
             let left = call.time_left();
@@ -321,7 +345,7 @@
     }
 }
 
-/// Why a stream that is silent is left.
+/// The logged cause for abandoning a silent stream.
 fn silence_cause(call: &Call) -> &'static str {
     if call.time_left().is_zero() {
         "time is up"
@@ -330,7 +354,7 @@
     }
 }
 
-/// Whether an event is new to the caller; events of a resumed run may come again.
+/// Whether an event is new to the caller; a resumed stream may repeat events.
 fn is_new_event(last_event: Option<u64>, id: Option<u64>) -> bool {
     match (last_event, id) {
         (Some(last_event), Some(id)) => id > last_event,
@@ -338,7 +362,7 @@
     }
 }
 
-/// Whether events are missing before this one.
+/// Whether events are missing between the last event and this one.
 fn has_gap_before(last_event: Option<u64>, id: Option<u64>) -> bool {
     match (last_event, id) {
         (Some(last_event), Some(id)) => id > last_event + 1,
