--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -1,7 +1,7 @@
 //! What this role asks of the outside: callers, backend servers and the log, a small
 //! trait for each side.
 
-use crate::gateway::{Ask, Configuration, Entry};
+use crate::gateway::{CallerRequest, Configuration, Entry};
 use crate::http::Body;
 use crate::inventory::Name;
 use hyper::http::{request, response};
@@ -59,10 +59,10 @@
 /// The protocol of requests, on the callers' side and on the backend servers'.
 pub(crate) trait Protocol: 'static {
     /// Reads what a caller asks for; the body comes later.
-    fn read_ask(head: &request::Parts) -> Result<Ask, Malformed>;
+    fn read_ask(head: &request::Parts) -> Result<CallerRequest, Malformed>;
 
     /// The request as a backend server gets it.
-    fn to_server(ask: &Ask, options: &SendOptions<'_>) -> Request<Body>;
+    fn to_server(ask: &CallerRequest, options: &SendOptions<'_>) -> Request<Body>;
 
     /// Reads the head of a backend server's answer.
     fn read_reply(head: &response::Parts) -> Reply;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -8,8 +8,8 @@
 use crate::gateway::fleet::Server;
 use crate::gateway::grant::Grant;
 use crate::gateway::state::State;
-use crate::gateway::wait_queue::Turns;
-use crate::gateway::{Ask, Malformed, Protocol, RouteKind, SendOptions};
+use crate::gateway::wait_queue::WaitQueues;
+use crate::gateway::{CallerRequest, Malformed, Protocol, RouteKind, SendOptions};
 use crate::http::{Body, ReadError, read_body};
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -39,7 +39,7 @@
 pub(crate) struct Relay<P> {
     pub(crate) state: Rc<State>,
     pub(crate) links: Links,
-    pub(crate) turns: Rc<Turns>,
+    pub(crate) turns: Rc<WaitQueues>,
     budget: RetryBudget,
     protocol: PhantomData<P>,
 }
@@ -92,7 +92,7 @@
 
     async fn answer(
         self: Rc<Self>,
-        ask: Ask,
+        ask: CallerRequest,
         body: Incoming,
         arrived: Instant,
     ) -> Result<Response<Body>, Failure> {
@@ -109,7 +109,7 @@
     /// Finds the route and reads the body.
     async fn open_call(
         &self,
-        mut ask: Ask,
+        mut ask: CallerRequest,
         body: Incoming,
         arrived: Instant,
     ) -> Result<Call, Failure> {
@@ -238,7 +238,7 @@
         let id = call.ask.id.clone();
         compio::runtime::spawn(async move {
             if is_refused(server.address).await {
-                let crashes = state.suspects.note_crash(fingerprint, now);
+                let crashes = state.suspects.record_crash(fingerprint, now);
                 warn!(request = %id, server = %server.id, fingerprint, crashes, "server crashed");
                 state.peers.tell_crash(fingerprint, crashes, now);
             }
--- a/src/platform/requests.rs
+++ b/src/platform/requests.rs
@@ -1,7 +1,7 @@
 //! Requests and answers as the platform words them.
 
 use crate::callers::ApiKey;
-use crate::gateway::{Ask, Generation, Malformed, Protocol, Refusal, Reply, SendOptions};
+use crate::gateway::{CallerRequest, Generation, Malformed, Protocol, Refusal, Reply, SendOptions};
 use crate::http::Body;
 use crate::inventory::Name;
 use bytes::Bytes;
@@ -141,7 +141,7 @@
 }
 
 impl Protocol for PlatformProtocol {
-    fn read_ask(head: &request::Parts) -> Result<Ask, Malformed> {
+    fn read_ask(head: &request::Parts) -> Result<CallerRequest, Malformed> {
         let id = text(&head.headers, &REQUEST_ID).ok_or(Malformed("no request id"))?;
         let host = head
             .uri
@@ -156,7 +156,7 @@
         for name in &OWN {
             headers.remove(name);
         }
-        Ok(Ask {
+        Ok(CallerRequest {
             id: id.into(),
             method: head.method.clone(),
             host: host.to_ascii_lowercase().into(),
@@ -171,7 +171,7 @@
         })
     }
 
-    fn to_server(ask: &Ask, options: &SendOptions<'_>) -> Request<Body> {
+    fn to_server(ask: &CallerRequest, options: &SendOptions<'_>) -> Request<Body> {
         let body = if ask.body.is_empty() {
             Body::empty()
         } else {
