--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -1,132 +1,141 @@
-//! Choosing a backend server among those that can serve a request.
+//! Chooses a backend server for a request by load, zone, connections and failures.
 
-/// What another zone costs, in slots' worth of load: enough that equal servers are taken
-/// from the own zone, too little to leave a busier one there.
-const ZONE_PENALTY: f64 = 0.05;
-/// The same in a fleet in which a VM speaks to each of another zone only once in many turns: what looks
-/// free there is taken by all zones at once, while the own zone's load is known as of a moment ago, and
-/// prompts are told within it at most.
+/// Score added to a server in another zone, in units of load (requests per slot). It decides
+/// between equally loaded servers in favour of the local zone, and is too small to keep
+/// requests on a busier local server.
+const REMOTE_ZONE_PENALTY: f64 = 0.05;
+/// Score added to a server in another zone while load reports from other zones arrive late, in
+/// units of load.
 ///
-/// With 195 VMs before 30 runners of 16 slots that are taken to six, eight and nine tenths, 2, 13 and
-/// 23 of 100 requests met a full runner, with the small penalty 6, 21 and 29, with 0.3 in between
-/// (`tests/zones.rs`).
-const LATE_ZONE_PENALTY: f64 = 0.6;
-/// What a new connection costs, in requests for each slot: servers make few of them at a time and
-/// count them, so that among equal servers those go first to which one is open.
+/// In a large fleet a VM exchanges loads with each VM of another zone only once in many gossip
+/// rounds. A remote server that looks free is then chosen by all zones at once, whereas the load
+/// in the local zone is nearly current. Queued prompts are at most advertised within a zone.
+/// With the smaller penalty, 29 instead of 23 of 100 requests reach a full runner at nine tenths
+/// load (`tests/zones.rs`).
+const STALE_ZONE_PENALTY: f64 = 0.6;
+/// Score added to a server without an open idle connection, in units of load. Servers count new
+/// connections and accept few at a time, so connected servers are preferred among equals.
 const CONNECT_PENALTY: f64 = 0.3;
-/// Prompts that take so long to read, in milliseconds, weigh as much as a whole server's load:
-/// prompts that wait hold up all streams there, streams hardly hold up each other.
+/// Prefill time of queued prompts, in milliseconds, that scores the same as a fully loaded server.
 ///
-/// At three quarters of what four runners read, a runner had prompts waiting that hold up
-/// streams for over 150 ms in 14 to 22 % of the time by chance alone, in 0.4 to 0.5 % with
-/// 50 ms, in 0.1 to 0.3 % with 10 ms (nine VMs, simulated in `tests/spreading.rs`).
-const LOAD_MS: f64 = 10.0;
-/// The most that chance adds to a load, in requests for each slot: as much as a whole server.
+/// Queued prompts stall every stream on a runner, while streams barely slow each other down. At
+/// three quarters of the prefill capacity, queued prompts stall streams for over 150 ms in 14 to
+/// 22 % of the time by chance alone, and in 0.1 to 0.3 % with 10 ms (`tests/spreading.rs`).
+const PREFILL_MS_PER_LOAD: f64 = 10.0;
+/// Upper bound of the random number added to each score, in units of load: as much as a fully
+/// loaded server.
 ///
-/// Requests in flight at other VMs are known as of up to 200 ms ago, in which a busy model
-/// gets dozens of requests; VMs that all take the least loaded server of then pile their
-/// prompts up on it where messages about them are lost. At half of what the runners read they
-/// had prompts waiting that hold up streams in 13 to 17 % of the time with 0.1 and 50 ms, in
-/// 0.1 % with 1.0 and 10 ms.
-const NOISE: f64 = 1.0;
-/// How much the load on a server says of it to a call that ends before other VMs hear of it, as a part
-/// of what it says to a stream: what was known of the load is gone by the time that it is acted on,
-/// and VMs that all take the least loaded server of then fill one after the other.
+/// The requests in flight at other VMs are known with a delay of up to 200 ms, in which a busy
+/// model receives dozens of requests. If all VMs chose the server that looked least loaded, they
+/// would queue their prompts on the same one whenever messages about these prompts are lost. At
+/// half of the prefill capacity, queued prompts then stall streams in 0.1 % of the time, compared
+/// with 13 to 17 % at a bound of 0.1 with 50 ms in `PREFILL_MS_PER_LOAD`.
+const MAX_NOISE: f64 = 1.0;
+/// Weight of a server's load in the score of a short call, relative to its weight for a stream.
 ///
-/// Five servers of six slots and 0.75 to 1.35 times the usual work, taken to eight tenths by 67 VMs:
-/// of 100 calls 22 were late with 1.0, 10 with 0.3, 1 with 0.15 and 0.07, 3 with 0.02, where slow
-/// servers fill; taken to nine tenths by 195 VMs 40, 37, 30, 6 and 7 (`tests/brief.rs`).
-const BRIEF_LOAD_WEIGHT: f64 = 0.07;
-/// The load up to which a runner takes requests, in requests for each slot: what waits there
-/// beyond its slots comes late and holds up what is begun.
+/// Short calls end before other VMs learn of them, so the known load is outdated when it is used,
+/// and VMs that all chose the least loaded server would fill one server after the other. With
+/// 1.0, 22 of 100 calls are late at eight tenths load from 67 VMs, with 0.07 it is 1; at 0.02 the
+/// slow servers fill up and it is 3 (`tests/brief.rs`).
+const SHORT_CALL_LOAD_WEIGHT: f64 = 0.07;
+/// Load at which a runner counts as full, in requests per slot. Requests queued beyond its slots
+/// start late and delay those that are already running.
 pub(crate) const FULL_LOAD: f64 = 1.1;
-/// The part of the longest pause for which prompts may keep a runner reading: steps of the
-/// streams take some of the rest, and what VMs have not told each other yet.
-const PAUSE_SHARE: f64 = 0.6;
-/// The load up to which a near server is taken before farther ones, in requests for each slot:
-/// streams hardly hold up each other at a quarter of the slots.
-const EASY_LOAD: f64 = 0.25;
-/// Prompts that wait for no longer than this, in milliseconds, are as good as read.
-const READING_MS: f64 = 5.0;
+/// Share of the longest permitted pause that prefilling prompts may take up. The rest is left for
+/// the steps of the streams and for prompts that other VMs have not advertised yet.
+const PREFILL_PAUSE_SHARE: f64 = 0.6;
+/// Load below which a local server is preferred to all remote ones, in requests per slot. Streams
+/// barely slow each other down while only a quarter of the slots is in use.
+const LIGHT_LOAD: f64 = 0.25;
+/// Prefill time of queued prompts, in milliseconds, up to which they are ignored.
+const NEGLIGIBLE_PREFILL_MS: f64 = 5.0;
 
 /// A backend server that can serve the request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
-    /// Requests on it, of all VMs as far as is known.
+    /// Requests in flight on the server from all VMs, as far as this VM knows.
     pub(crate) in_flight: u32,
-    /// Requests that it runs at a time.
+    /// Requests that the server runs at a time.
     pub(crate) slots: u32,
-    /// How long it takes to read the prompts that wait there, in milliseconds.
+    /// Prefill time of the prompts queued on the server, in milliseconds.
     pub(crate) prompts_wait_ms: f64,
-    /// Whether it stands in this VM's availability zone.
+    /// Whether the server is in this VM's availability zone.
     pub(crate) is_near: bool,
-    /// Whether the load of VMs in other zones is known late.
+    /// Whether load reports from other zones arrive late.
     pub(crate) is_far_late: bool,
-    /// Whether a connection to it is open and idle.
+    /// Whether an idle connection to the server is open.
     pub(crate) is_connected: bool,
-    /// Whether the request ends before other VMs hear of it, as plain calls do.
+    /// Whether the request ends before other VMs learn of it, as calls to plain services do.
     pub(crate) is_short_call: bool,
-    /// Whether it failed a moment ago, or failed this very request.
+    /// Whether the server failed recently, or failed an earlier attempt of this request.
     pub(crate) has_failed: bool,
 }
 
 impl Candidate {
-    /// The load, in requests for each slot.
+    /// Returns the load, in requests per slot.
     pub(crate) fn load(&self) -> f64 {
         f64::from(self.in_flight) / f64::from(self.slots.max(1))
     }
 
-    /// Whether its places are taken and others wait there already.
+    /// Whether all slots are taken and further requests are queued on the server.
     pub(crate) fn is_full(&self) -> bool {
         self.load() >= FULL_LOAD
     }
 
-    /// Whether a prompt that takes `read_ms` had better wait until others are read there: with
-    /// it, streams there would pause for longer than an answer in time may.
-    pub(crate) fn defers_prompt(&self, read_ms: f64, max_pause_ms: f64) -> bool {
-        let wait_ms = self.prompts_wait_ms;
-        wait_ms > READING_MS && wait_ms + read_ms > max_pause_ms * PAUSE_SHARE
+    /// Whether a prompt with a prefill time of `prefill_ms` should be held until queued prompts
+    /// are processed. Sent now, it would make streams on the server pause for longer than
+    /// `max_pause_ms` allows.
+    pub(crate) fn defers_prompt(&self, prefill_ms: f64, max_pause_ms: f64) -> bool {
+        let queued_ms = self.prompts_wait_ms;
+        queued_ms > NEGLIGIBLE_PREFILL_MS
+            && queued_ms + prefill_ms > max_pause_ms * PREFILL_PAUSE_SHARE
     }
 
-    /// The load with what else speaks against the server.
+    /// Returns the load plus all penalties, in requests per slot; lower is better.
     fn score(&self) -> f64 {
         let zone = match (self.is_near, self.is_far_late && !self.is_short_call) {
             (true, _) => 0.0,
-            (false, true) => LATE_ZONE_PENALTY,
-            (false, false) => ZONE_PENALTY,
+            (false, true) => STALE_ZONE_PENALTY,
+            (false, false) => REMOTE_ZONE_PENALTY,
         };
         let connect = match self.is_connected {
             true => 0.0,
             false => CONNECT_PENALTY,
         };
         let load = match self.is_short_call {
-            true => self.load() * BRIEF_LOAD_WEIGHT,
+            true => self.load() * SHORT_CALL_LOAD_WEIGHT,
             false => self.load(),
         };
-        load + self.prompts_wait_ms / LOAD_MS + zone + connect
+        load + self.prompts_wait_ms / PREFILL_MS_PER_LOAD + zone + connect
     }
 
-    /// Whether it stands near and has so little to do that no farther one would be better.
-    fn is_near_and_easy(&self) -> bool {
-        self.is_near && self.load() < EASY_LOAD && self.prompts_wait_ms < READING_MS
+    /// Whether the server is local and so lightly loaded that no remote one would be faster.
+    fn is_local_and_lightly_loaded(&self) -> bool {
+        self.is_near && self.load() < LIGHT_LOAD && self.prompts_wait_ms < NEGLIGIBLE_PREFILL_MS
     }
 
-    /// What is compared first: a server that failed stands behind all others, a full one
-    /// behind those with places, whatever their load, and those first that answer from nearby
-    /// without delay: a byte from another zone costs, and comes later. Of a server for brief calls
-    /// only the failures are known in time.
+    /// Returns the sort key that takes precedence over the score; lower is better.
+    ///
+    /// Servers that failed come last, and full ones come after those with free slots, whatever
+    /// their scores. Lightly loaded local servers come first, because traffic between zones is
+    /// charged and slower. For short calls only failures count: the rest is outdated by the time
+    /// it is known.
     fn class(&self) -> (bool, bool, bool) {
         match self.is_short_call {
             true => (self.has_failed, false, false),
-            false => (self.has_failed, self.is_full(), !self.is_near_and_easy()),
+            false => (
+                self.has_failed,
+                self.is_full(),
+                !self.is_local_and_lightly_loaded(),
+            ),
         }
     }
 }
 
-/// The place of the least loaded candidate; `noise` draws numbers from 0 to 1.
+/// Returns the index of the best candidate; `noise` draws random numbers from 0 to 1.
 pub(crate) fn choose(candidates: &[Candidate], mut noise: impl FnMut() -> f64) -> Option<usize> {
     let scored = candidates.iter().map(|candidate| {
-        let score = candidate.score() + noise() * NOISE;
+        let score = candidate.score() + noise() * MAX_NOISE;
         (candidate.class(), score)
     });
     scored
@@ -135,5 +144,5 @@
             let by_class = left.0.cmp(&right.0);
             by_class.then(left.1.total_cmp(&right.1))
         })
-        .map(|(place, _)| place)
+        .map(|(index, _)| index)
 }
--- a/src/gateway/hold_time.rs
+++ b/src/gateway/hold_time.rs
@@ -1,45 +1,54 @@
-//! How long a request is held for a place, and when it must be sent to be answered in time.
+//! Computes how long a request is held for a free slot, and when it has to be sent to be answered
+//! in time.
 
 use std::time::{Duration, Instant};
 
-/// Callers give up a stream after the longest of: two seconds without an event, four times the
-/// target of the first one, and eight times the longest pause of an answer in time.
-const CALLER_GAP: Duration = Duration::from_secs(2);
-const CALLER_GAP_TARGETS: u32 = 4;
-const CALLER_GAP_PAUSES: u32 = 8;
-/// The part of that time for which a request is held: the rest is for the answer's beginning. Its
-/// gain was measured together with what a late answer loses in the spread of demand.
-const HOLD_SHARE: f64 = 0.7;
-/// The part of the time until the deadline for which it is held: the rest is for the answer.
-const HOLD_TIME_SHARE: f64 = 0.5;
-/// From sending a prompt to its first event beside the reading: a step or two and the way.
-const FIRST_EVENT: Duration = Duration::from_millis(60);
+/// Time without an event after which callers abandon a stream: the longest of two seconds, four
+/// times the target for the first event, and eight times the longest permitted pause.
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT_TARGETS: u32 = 4;
+const CALLER_TIMEOUT_PAUSES: u32 = 8;
+/// Share of that time for which a request is held. The rest is left for the first event of the
+/// answer. The benefit of a longer hold depends on the loss that `spread` assigns to a late answer,
+/// so the two values have to be changed together.
+const CALLER_TIMEOUT_HOLD_SHARE: f64 = 0.7;
+/// Share of the time until the deadline for which a request is held. The rest is left for the
+/// answer.
+const DEADLINE_HOLD_SHARE: f64 = 0.5;
+/// Time from sending a prompt to its first event in addition to the prefill: one or two generation
+/// steps and the network round trip.
+const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(60);
 
-/// The times that bear on one request for a stream.
+/// The times that determine when a request for a stream is sent or given up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestTiming {
-    /// When it arrived.
+    /// When the request arrived.
     pub(crate) arrived: Instant,
-    /// The time to the first event within which the answer has its full worth.
+    /// The time to the first event within which the answer has its full value.
     pub(crate) target: Duration,
-    /// The longest pause between events of such an answer.
+    /// The longest pause between events for which the answer keeps its full value.
     pub(crate) max_pause: Duration,
-    /// When the whole answer must be there.
+    /// When the answer has to be complete.
     pub(crate) deadline: Instant,
 }
 
 impl RequestTiming {
-    /// When a prompt that takes so long to read must be sent to be answered in time.
-    pub(crate) fn send_by(&self, read: Duration) -> Instant {
-        self.arrived + self.target.saturating_sub(read + FIRST_EVENT)
+    /// Returns the latest time to send a prompt with the given prefill time for its first event to
+    /// arrive within the target.
+    pub(crate) fn send_by(&self, prefill: Duration) -> Instant {
+        self.arrived + self.target.saturating_sub(prefill + FIRST_EVENT_OVERHEAD)
     }
 
-    /// Until when it is held: afterwards its caller may have left before an answer begins.
+    /// Returns the time until which the request is held. After it, the caller may disconnect before
+    /// an answer begins.
     pub(crate) fn hold_limit(&self) -> Instant {
-        let gap = CALLER_GAP
-            .max(self.target * CALLER_GAP_TARGETS)
-            .max(self.max_pause * CALLER_GAP_PAUSES);
-        let left = self.deadline.saturating_duration_since(self.arrived);
-        self.arrived + gap.mul_f64(HOLD_SHARE).min(left.mul_f64(HOLD_TIME_SHARE))
+        let caller_timeout = MIN_CALLER_TIMEOUT
+            .max(self.target * CALLER_TIMEOUT_TARGETS)
+            .max(self.max_pause * CALLER_TIMEOUT_PAUSES);
+        let time_left = self.deadline.saturating_duration_since(self.arrived);
+        self.arrived
+            + caller_timeout
+                .mul_f64(CALLER_TIMEOUT_HOLD_SHARE)
+                .min(time_left.mul_f64(DEADLINE_HOLD_SHARE))
     }
 }
--- a/src/gateway/wait_queue.rs
+++ b/src/gateway/wait_queue.rs
@@ -1,7 +1,7 @@
-//! The order in which requests that wait for the same weights are sent.
+//! Orders the requests that wait for the same weights.
 //!
-//! The one that must be sent first to be answered in time goes first; one that is late already
-//! stands behind all that can still be in time, since it gains nothing by hurry.
+//! Earliest deadline first. Requests that have already missed their deadline come after all that
+//! can still meet theirs, since sending them sooner gains nothing.
 
 use crate::gateway::Weights;
 use std::cell::{Cell, RefCell};
@@ -9,88 +9,88 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The requests that wait, by what they wait for.
+/// Waiting requests, by the weights that they wait for.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueues {
-    waiting: RefCell<HashMap<Weights, Vec<Place>>>,
-    next: Cell<u64>,
+    waiting: RefCell<HashMap<Weights, Vec<Position>>>,
+    next_arrival: Cell<u64>,
 }
 
-/// One request's place among those that wait for the same weights; left when dropped.
+/// A request in the queue for its weights; leaves the queue when dropped.
 #[derive(Debug)]
 pub(crate) struct QueuedRequest {
-    turns: Rc<WaitQueues>,
+    queues: Rc<WaitQueues>,
     weights: Weights,
-    place: Place,
+    position: Position,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Place {
-    /// When it must be sent to be answered in time.
+struct Position {
+    /// The latest time to send the request for an answer in time.
     send_by: Instant,
-    /// Grows with each arrival.
-    number: u64,
+    /// Arrival number of the request; breaks ties between equal deadlines.
+    arrival: u64,
 }
 
-impl Place {
-    fn rank(self, now: Instant) -> (bool, Instant, u64) {
-        (self.send_by < now, self.send_by, self.number)
+impl Position {
+    fn sort_key(self, now: Instant) -> (bool, Instant, u64) {
+        (self.send_by < now, self.send_by, self.arrival)
     }
 }
 
 impl WaitQueues {
-    /// Begins to wait.
+    /// Adds a request that has to be sent by `send_by`.
     pub(crate) fn enqueue(self: &Rc<Self>, weights: &Weights, send_by: Instant) -> QueuedRequest {
-        let place = self.newcomer(send_by);
-        self.next.set(place.number + 1);
+        let position = self.new_position(send_by);
+        self.next_arrival.set(position.arrival + 1);
         let mut waiting = self.waiting.borrow_mut();
-        waiting.entry(weights.clone()).or_default().push(place);
+        waiting.entry(weights.clone()).or_default().push(position);
         QueuedRequest {
-            turns: self.clone(),
+            queues: self.clone(),
             weights: weights.clone(),
-            place,
+            position,
         }
     }
 
-    /// Whether a request that does not wait yet would stand before all that do.
+    /// Whether a request that is not queued yet would come before all queued ones.
     pub(crate) fn would_be_first(&self, weights: &Weights, send_by: Instant, now: Instant) -> bool {
-        self.is_before_all(weights, self.newcomer(send_by), now)
+        self.is_before_all(weights, self.new_position(send_by), now)
     }
 
-    /// How many wait.
+    /// Returns the number of requests that wait for the weights.
     pub(crate) fn count(&self, weights: &Weights) -> usize {
         self.waiting.borrow().get(weights).map_or(0, Vec::len)
     }
 
-    fn newcomer(&self, send_by: Instant) -> Place {
-        Place {
+    fn new_position(&self, send_by: Instant) -> Position {
+        Position {
             send_by,
-            number: self.next.get(),
+            arrival: self.next_arrival.get(),
         }
     }
 
-    fn is_before_all(&self, weights: &Weights, place: Place, now: Instant) -> bool {
+    fn is_before_all(&self, weights: &Weights, position: Position, now: Instant) -> bool {
         let waiting = self.waiting.borrow();
         let others = waiting.get(weights).into_iter().flatten();
         others
-            .filter(|other| **other != place)
-            .all(|other| place.rank(now) < other.rank(now))
+            .filter(|other| **other != position)
+            .all(|other| position.sort_key(now) < other.sort_key(now))
     }
 }
 
 impl QueuedRequest {
-    /// Whether no other one stands before it.
+    /// Whether the request is at the head of its queue.
     pub(crate) fn is_next(&self, now: Instant) -> bool {
-        self.turns.is_before_all(&self.weights, self.place, now)
+        self.queues.is_before_all(&self.weights, self.position, now)
     }
 }
 
 impl Drop for QueuedRequest {
     fn drop(&mut self) {
-        let mut waiting = self.turns.waiting.borrow_mut();
-        if let Some(places) = waiting.get_mut(&self.weights) {
-            places.retain(|place| *place != self.place);
-            if places.is_empty() {
+        let mut waiting = self.queues.waiting.borrow_mut();
+        if let Some(positions) = waiting.get_mut(&self.weights) {
+            positions.retain(|position| *position != self.position);
+            if positions.is_empty() {
                 waiting.remove(&self.weights);
             }
         }
