--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -1,43 +1,44 @@
-//! The budget of retries, shared by all VMs without a message.
+//! The retry budget, which all VMs share without exchanging messages.
 //!
-//! All VMs together may send, in any window, a ratio of the requests of a service plus
-//! some slack once more. Each VM keeps to the ratio of the requests that it has seen
-//! itself and to its part of the slack, so that the sum holds whatever others know.
+//! In any window, all VMs together may retry a fixed ratio of the requests for a service, plus some
+//! slack. Each VM applies the ratio to the requests that it received itself and takes an equal
+//! share of the slack, so that the total holds without knowledge of other VMs' retries.
 
 use crate::inventory::Name;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// The part of the allowance that is used: windows slide and VMs come and go.
-const SAFETY: f64 = 0.7;
+/// Share of the allowance that is used. The rest covers windows that slide and VMs that join or
+/// leave.
+const USED_SHARE: f64 = 0.7;
 
-/// What the deployment allows.
+/// Retries that the deployment allows for each service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Allowance {
-    /// Retries for each request.
+    /// Retries per request.
     pub(crate) ratio: f64,
-    /// Retries beyond the ratio, over all VMs.
+    /// Retries per window in addition to the ratio, over all VMs.
     pub(crate) slack: f64,
     /// The window over which both are counted.
     pub(crate) window: Duration,
 }
 
 #[derive(Debug, Default)]
-struct Counts {
+struct History {
     requests: VecDeque<Instant>,
     retries: VecDeque<Instant>,
 }
 
-/// One VM's part of the budget, by service.
+/// One VM's share of the retry budget, by service.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     allowance: Allowance,
-    services: RefCell<HashMap<Name, Counts>>,
+    services: RefCell<HashMap<Name, History>>,
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is used.
+    /// Creates a budget with no requests and no retries counted.
     pub(crate) fn new(allowance: Allowance) -> Self {
         Self {
             allowance,
@@ -45,33 +46,33 @@
         }
     }
 
-    /// Notes a request for a service.
+    /// Counts a request for a service.
     pub(crate) fn note_request(&self, service: &Name, now: Instant) {
         let mut services = self.services.borrow_mut();
-        let counts = services.entry(service.clone()).or_default();
-        counts.forget(now, self.allowance.window);
-        counts.requests.push_back(now);
+        let history = services.entry(service.clone()).or_default();
+        history.remove_expired(now, self.allowance.window);
+        history.requests.push_back(now);
     }
 
-    /// Takes one retry, if this VM's part among `vms` has one left; without their number it has
-    /// no part of the slack.
+    /// Takes one retry from this VM's share of the budget and returns whether there was one left.
+    /// `vms` is the number of VMs that share the slack; if it is unknown, this VM gets no slack.
     pub(crate) fn take(&self, service: &Name, vms: Option<usize>, now: Instant) -> bool {
         let mut services = self.services.borrow_mut();
-        let counts = services.entry(service.clone()).or_default();
-        counts.forget(now, self.allowance.window);
-        let earned = self.allowance.ratio * counts.requests.len() as f64;
+        let history = services.entry(service.clone()).or_default();
+        history.remove_expired(now, self.allowance.window);
+        let earned = self.allowance.ratio * history.requests.len() as f64;
         let slack = vms.map_or(0.0, |vms| self.allowance.slack / vms.max(1) as f64);
-        let allowed = (earned + slack) * SAFETY;
-        if counts.retries.len() as f64 + 1.0 > allowed {
+        let allowed = (earned + slack) * USED_SHARE;
+        if history.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        counts.retries.push_back(now);
+        history.retries.push_back(now);
         true
     }
 }
 
-impl Counts {
-    fn forget(&mut self, now: Instant, window: Duration) {
+impl History {
+    fn remove_expired(&mut self, now: Instant, window: Duration) {
         for times in [&mut self.requests, &mut self.retries] {
             while times
                 .front()
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -1,57 +1,57 @@
-//! Requests that were aboard when servers crashed.
+//! Tracks requests that were in flight on servers that crashed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Crashes after which a request is refused.
+/// Number of crashes from which a request is refused.
 const MAX_CRASHES: u32 = 2;
-/// How long a crash is held against a request.
-const MEMORY: Duration = Duration::from_secs(30);
-/// Requests kept in mind at most.
-const MAX_KEPT: usize = 4_096;
+/// How long a crash counts against a request.
+const CRASH_RETENTION: Duration = Duration::from_secs(30);
+/// Number of records from which expired ones are removed.
+const CLEANUP_THRESHOLD: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
-struct Record {
+struct CrashRecord {
     crashes: u32,
-    at: Instant,
+    updated_at: Instant,
 }
 
-/// Crashes by request, as this VM and its peers saw them.
+/// Crash counts by request fingerprint, as observed by this VM and its peers.
 #[derive(Debug, Default)]
 pub(crate) struct CrashSuspects {
-    records: RefCell<HashMap<u64, Record>>,
+    records: RefCell<HashMap<u64, CrashRecord>>,
 }
 
 impl CrashSuspects {
-    /// Notes a crash with the request aboard; returns how many are known by now.
+    /// Counts a crash of a server with the request in flight; returns the number of crashes known.
     pub(crate) fn record_crash(&self, fingerprint: u64, now: Instant) -> u32 {
         let crashes = self.crashes(fingerprint, now) + 1;
         self.merge_crashes(fingerprint, crashes, now);
         crashes
     }
 
-    /// Takes over a peer's count; tells whether more is known now.
+    /// Merges a peer's crash count; returns whether it exceeds the known one.
     pub(crate) fn merge_crashes(&self, fingerprint: u64, crashes: u32, now: Instant) -> bool {
         let known = self.crashes(fingerprint, now);
         let mut records = self.records.borrow_mut();
-        if records.len() >= MAX_KEPT {
-            records.retain(|_, record| now.duration_since(record.at) < MEMORY);
+        if records.len() >= CLEANUP_THRESHOLD {
+            records.retain(|_, record| now.duration_since(record.updated_at) < CRASH_RETENTION);
         }
-        let record = Record {
+        let record = CrashRecord {
             crashes: crashes.max(known),
-            at: now,
+            updated_at: now,
         };
         records.insert(fingerprint, record);
         crashes > known
     }
 
-    /// Notes that the request did no harm.
+    /// Removes the record of a request that did not crash its server.
     pub(crate) fn clear(&self, fingerprint: u64) {
         self.records.borrow_mut().remove(&fingerprint);
     }
 
-    /// Whether the request is to be refused.
+    /// Whether the request is refused because of its crashes.
     pub(crate) fn is_poison(&self, fingerprint: u64, now: Instant) -> bool {
         self.crashes(fingerprint, now) >= MAX_CRASHES
     }
@@ -60,7 +60,7 @@
         let records = self.records.borrow();
         let record = records.get(&fingerprint);
         record.map_or(0, |record| {
-            if now.duration_since(record.at) < MEMORY {
+            if now.duration_since(record.updated_at) < CRASH_RETENTION {
                 record.crashes
             } else {
                 0
--- a/src/gateway/line_fit.rs
+++ b/src/gateway/line_fit.rs
@@ -1,15 +1,16 @@
-//! A straight line through points that come one by one, older ones counting less.
+//! Fits a straight line to a series of points, with exponentially decreasing weights.
 
-/// What is left of the weight of all earlier points when one comes: some fifty count.
-const KEPT: f64 = 0.98;
-/// A point this far beyond the line, as a multiple of what the line gives, is left out: one slow
-/// server must not bend it. Each one makes the line weigh less, so that a lasting change
-/// counts after some fifty points.
-const MAX_EXCESS: f64 = 2.0;
-/// Points from which the line is trusted to tell what is too far beyond it.
-const TRUSTED_WEIGHT: f64 = 8.0;
+/// Factor applied to the weight of all earlier points with each new one, so that about the last
+/// fifty count.
+const DECAY: f64 = 0.98;
+/// Points above this multiple of the value predicted by the line are skipped as outliers, so that
+/// one slow server does not distort it. Each skipped point still decays the weight of the line,
+/// so that a lasting change is accepted after about fifty points.
+const OUTLIER_FACTOR: f64 = 2.0;
+/// Weight of the points from which the line is reliable enough to detect outliers.
+const MIN_OUTLIER_WEIGHT: f64 = 8.0;
 
-/// Sums over the points, from which the line of least squares follows.
+/// Weighted sums over the points, from which the least-squares line is computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LineFit {
     weight: f64,
@@ -22,24 +23,24 @@
 /// A line: `intercept + slope * x`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Line {
-    /// The value at 0.
+    /// The value at `x = 0`.
     pub(crate) intercept: f64,
-    /// The growth for each unit.
+    /// The increase per unit of `x`.
     pub(crate) slope: f64,
 }
 
 impl LineFit {
-    /// Takes one point in.
-    pub(crate) fn note(&mut self, x: f64, y: f64) {
-        let is_outside = self.weight >= TRUSTED_WEIGHT && self.is_beyond(x, y);
-        *self = self.scaled(KEPT);
-        if !is_outside {
-            self.add_assumed(x, y, 1.0);
+    /// Adds a point with weight 1 and decays all earlier ones; skips outliers.
+    pub(crate) fn add_point(&mut self, x: f64, y: f64) {
+        let is_skipped = self.weight >= MIN_OUTLIER_WEIGHT && self.is_outlier(x, y);
+        *self = self.scaled(DECAY);
+        if !is_skipped {
+            self.add_weighted_point(x, y, 1.0);
         }
     }
 
-    /// Takes a point in with a weight of its own.
-    pub(crate) fn add_assumed(&mut self, x: f64, y: f64, weight: f64) {
+    /// Adds a point with the given weight, without decaying earlier ones.
+    pub(crate) fn add_weighted_point(&mut self, x: f64, y: f64, weight: f64) {
         self.weight += weight;
         self.x += weight * x;
         self.y += weight * y;
@@ -47,8 +48,8 @@
         self.xy += weight * x * y;
     }
 
-    /// Takes all points of another one in.
-    pub(crate) fn add(&mut self, other: &Self) {
+    /// Adds all points of another fit.
+    pub(crate) fn merge(&mut self, other: &Self) {
         self.weight += other.weight;
         self.x += other.x;
         self.y += other.y;
@@ -56,12 +57,12 @@
         self.xy += other.xy;
     }
 
-    /// The same with `weight` at most.
-    pub(crate) fn limited(&self, weight: f64) -> Self {
+    /// Returns the fit, scaled down to a total weight of at most `weight`.
+    pub(crate) fn with_max_weight(&self, weight: f64) -> Self {
         self.scaled((weight / self.weight.max(weight)).min(1.0))
     }
 
-    /// The line of least squares; a level one where all points have the same `x`.
+    /// Returns the least-squares line; a horizontal one if all points have the same `x`.
     pub(crate) fn line(&self) -> Line {
         if self.weight <= 0.0 {
             return Line {
@@ -70,9 +71,9 @@
             };
         }
         let (mean_x, mean_y) = (self.x / self.weight, self.y / self.weight);
-        let spread = self.xx / self.weight - mean_x * mean_x;
-        let slope = if spread > f64::EPSILON * mean_x.max(1.0) {
-            (self.xy / self.weight - mean_x * mean_y) / spread
+        let variance = self.xx / self.weight - mean_x * mean_x;
+        let slope = if variance > f64::EPSILON * mean_x.max(1.0) {
+            (self.xy / self.weight - mean_x * mean_y) / variance
         } else {
             0.0
         };
@@ -82,14 +83,14 @@
         }
     }
 
-    /// The sum of `y` for each unit of `x`.
+    /// Returns the sum of all `y` divided by the sum of all `x`, or 0 without points.
     pub(crate) fn ratio(&self) -> f64 {
         if self.x > 0.0 { self.y / self.x } else { 0.0 }
     }
 
-    fn is_beyond(&self, x: f64, y: f64) -> bool {
+    fn is_outlier(&self, x: f64, y: f64) -> bool {
         let Line { intercept, slope } = self.line();
-        y > MAX_EXCESS * (intercept + slope * x).max(1.0)
+        y > OUTLIER_FACTOR * (intercept + slope * x).max(1.0)
     }
 
     fn scaled(&self, factor: f64) -> Self {
