--- a/src/gateway/caller_request.rs
+++ b/src/gateway/caller_request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, whatever protocol it came by.
+//! A request of a caller, independent of the protocol it arrived by.
 
 use crate::callers::ApiKey;
 use crate::inventory::Name;
@@ -9,54 +9,55 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// One request of a caller, read whole.
+/// One request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
-    /// The caller's name for this request.
+    /// The request's id, as set by the caller.
     pub(crate) id: Name,
-    /// The method, passed on unchanged.
+    /// The method, forwarded unchanged.
     pub(crate) method: Method,
     /// The host that the caller addressed.
     pub(crate) host: Name,
-    /// The path with its query, passed on unchanged.
+    /// The path and query, forwarded unchanged.
     pub(crate) path: PathAndQuery,
-    /// The headers to pass on unchanged.
+    /// The headers that are forwarded unchanged.
     pub(crate) headers: HeaderMap,
-    /// The body; empty until it was read.
+    /// The body; empty until it has been read.
     pub(crate) body: Bytes,
-    /// How long the caller waits for the whole answer, from the request's arrival.
+    /// How long the caller waits for the complete answer, counted from the arrival of the request.
     pub(crate) patience: Option<Duration>,
-    /// The last event that the caller has already, where it resumes a stream.
+    /// The last event that the caller has received, if it resumes a stream.
     pub(crate) last_event: Option<u64>,
-    /// The caller's key, where there is exactly one.
+    /// The caller's API key, if the request has exactly one.
     pub(crate) key: Option<ApiKey>,
-    /// Tokens of the prompt and those to generate, where the caller tells both.
+    /// The number of prompt tokens and of tokens to generate, if the caller states both.
     pub(crate) tokens: Option<(u32, u32)>,
-    /// What a model is to generate; plain calls have none.
+    /// What a model has to generate; `None` for calls to plain services.
     pub(crate) generation: Option<Generation>,
 }
 
-/// The generation that a request asks a model runner for.
+/// The generation parameters of a request for a runner.
 #[derive(Clone, Debug)]
 pub(crate) struct Generation {
     /// The model.
     pub(crate) model: Name,
-    /// The adapter over it, if any.
+    /// The adapter to apply to the model, if any.
     pub(crate) adapter: Option<Name>,
-    /// Tokens of the prompt; 0 where none are told.
+    /// The number of prompt tokens; 0 if not stated.
     pub(crate) prompt_tokens: u32,
-    /// Tokens to generate at most; 0 where none are told.
+    /// The maximum number of tokens to generate; 0 if not stated.
     pub(crate) max_tokens: u32,
 }
 
 impl CallerRequest {
-    /// What it counts as where tokens are counted, if the caller tells.
+    /// Returns the tokens that the request counts as in quotas, if the caller states them.
     pub(crate) fn token_count(&self) -> Option<f64> {
         let (prompt, most) = self.tokens?;
         Some(f64::from(prompt) + f64::from(most))
     }
 
-    /// The same for each sending of the same request by the same caller, through whichever VM.
+    /// Returns a hash of the host, path and body, which is the same on every VM and for every
+    /// attempt to send the request.
     pub(crate) fn fingerprint(&self) -> u64 {
         let mut hash = Xxh3::new();
         hash.write(self.host.as_bytes());
--- a/src/gateway/failure.rs
+++ b/src/gateway/failure.rs
@@ -1,56 +1,59 @@
-//! Why a request is not answered by a server, and what its caller is told.
+//! Reasons why a request has no answer from a server, and the responses sent to callers for them.
 
 use crate::gateway::Refusal;
 use hyper::StatusCode;
 use std::time::Duration;
 
-/// The part of a caller's time left after which one that was refused for want of a place, of a
-/// copy, or of knowledge comes back at the latest: callers wait for a third at most. A place comes
-/// with one more copy, which takes seconds to make room for and to load; a VM that has started
-/// knows nothing until the log answers; and most callers come back once.
+/// Latest retry time after a refusal because all servers are full, none has a copy, or this VM has
+/// no configuration yet, as a share of the caller's remaining time.
+///
+/// Callers wait for at most a third of that time, and most of them retry once. The retry should be
+/// as late as possible: making room for another copy and loading it takes seconds, and a VM that
+/// has just started has no configuration until the log responds.
 const MAX_RETRY_SHARE: f64 = 0.33;
-/// The same at the earliest; spread, so that those refused together do not come back together.
+/// Earliest retry time for the same refusals, as a share of the remaining time. The retry time is
+/// random, so that callers refused together do not retry together.
 const MIN_RETRY_SHARE: f64 = 0.2;
-/// Requests that are refused together for their quota come back spread over this time.
+/// Time over which retries are spread for requests refused together because of a quota.
 const QUOTA_RETRY_SPREAD: Duration = Duration::from_millis(1_000);
-/// When a request whose quota allows it only later may come back at the latest.
+/// Longest retry time after a refusal because of a quota.
 const MAX_QUOTA_RETRY: Duration = Duration::from_secs(60);
-/// When a request that crashes servers may come back.
+/// Retry time of a request that crashes servers.
 const POISON_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Why a request is not answered by a server's answer.
+/// The reason why a request has no answer from a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Failure {
-    /// This VM knows no configuration or no servers yet.
+    /// This VM has no configuration or no list of servers yet.
     Unready,
-    /// The request cannot be read.
+    /// The request cannot be parsed, for the given reason.
     Malformed(&'static str),
-    /// Its key is no organisation's.
+    /// The API key belongs to no organisation.
     UnknownKey,
-    /// Its organisation's quota is spent, and may allow it after this time.
+    /// The organisation's quota is used up, and may allow the request after this time.
     OverQuota(Duration),
-    /// No route is about it.
+    /// No route matches the request.
     NoRoute,
-    /// Its body is larger than allowed.
+    /// The body is larger than allowed.
     TooLarge,
-    /// Its body did not arrive whole.
+    /// The body did not arrive completely.
     BodyCut,
-    /// No server can take it.
+    /// No server can handle the request.
     NoServer,
-    /// The servers that could take it are full.
+    /// All servers that can handle the request are full.
     Full,
-    /// It was sent, and what became of it is unknown.
+    /// The request was sent, and its outcome is unknown.
     Unknown,
-    /// Its time is up, and it was sent.
+    /// The deadline passed after the request was sent.
     TimedOut,
-    /// Its time is up, and it was never sent.
+    /// The deadline passed before the request was sent.
     Late,
-    /// Servers crashed each time it was aboard.
+    /// Servers crashed while the request was in flight on them.
     Poison,
 }
 
 impl Failure {
-    /// The name in metrics.
+    /// Returns the name in metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Unready => "unready",
@@ -69,7 +72,7 @@
         }
     }
 
-    /// What a caller is told that has so much time left.
+    /// Returns the response for a caller that waits for another `time_left`.
     pub(crate) fn refusal(self, time_left: Duration) -> Refusal {
         let (status, retry_after) = match self {
             Self::Malformed(_) => (400, None),
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one VM's process.
+//! The settings of the process on one VM.
 
 use crate::callers::QuotaBounds;
 use crate::inventory::Name;
@@ -10,43 +10,43 @@
 pub(crate) struct Settings {
     /// The VM's name.
     pub(crate) vm: Name,
-    /// The availability zone that it stands in.
+    /// The availability zone that the VM is in.
     pub(crate) availability_zone: Name,
-    /// Where callers are served.
+    /// The address that serves callers.
     pub(crate) caller_address: SocketAddr,
-    /// Where readiness and metrics are served.
+    /// The address that serves readiness and metrics.
     pub(crate) ready_address: SocketAddr,
-    /// Where metrics are served beside the ready address, if anywhere.
+    /// A further address that serves metrics, if any.
     pub(crate) metrics_address: Option<SocketAddr>,
-    /// Where peers' messages arrive.
+    /// The address that receives messages of other VMs.
     pub(crate) peer_address: SocketAddr,
-    /// The log service that holds all that lasts.
+    /// The address of the log service, which stores all durable state.
     pub(crate) log_address: SocketAddr,
-    /// What the deployment promises and asks for.
+    /// Limits and guarantees of the deployment.
     pub(crate) bounds: Bounds,
 }
 
-/// Figures that the deployment is judged by.
+/// Limits and guarantees of the deployment that each VM has to keep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Bounds {
-    /// From SIGTERM until the process is killed.
+    /// The time from SIGTERM until the process is killed.
     pub(crate) grace: Duration,
-    /// How long a backend server goes on serving once it is known to leave.
+    /// How long a backend server continues to serve requests after it has announced that it leaves.
     pub(crate) drain: Duration,
-    /// Retries allowed for each request, over all VMs.
+    /// Retries allowed per request, over all VMs.
     pub(crate) retry_ratio: f64,
-    /// The window over which retries are counted.
+    /// The window in which retries are counted.
     pub(crate) retry_window: Duration,
-    /// Retries allowed in a window beyond the ratio, over all VMs.
+    /// Retries allowed per window in addition to the ratio, over all VMs.
     pub(crate) retry_slack: f64,
-    /// How exactly organisations' quotas are kept.
+    /// How far the usage of organisations may exceed their quotas.
     pub(crate) quota: QuotaBounds,
-    /// Whether runners refuse orders under a lower fence than one that they have seen.
+    /// Whether runners refuse orders with a lower fence than the highest one they have received.
     pub(crate) is_fenced: bool,
-    /// How long a holder of orders must be left alone after its last one.
+    /// How long another VM has to wait after the last order of a leader before it takes over.
     pub(crate) lease: Duration,
-    /// The window over which loads from the weight store are counted.
+    /// The window in which loads from the weight store are counted.
     pub(crate) load_window: Duration,
-    /// The shortest time after which a silent group member is dropped.
+    /// The shortest time without a heartbeat after which a group member is removed.
     pub(crate) min_member_ttl: Duration,
 }
