--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -43,7 +43,8 @@
     pub(crate) quota: QuotaBounds,
     /// Whether runners refuse orders with a lower fence than the highest one they have received.
     pub(crate) is_fenced: bool,
-    /// How long another VM has to wait after the last order of a leader before it takes over.
+    /// How long a leader must not be replaced after its last order. A VM that lost the leadership
+    /// waits this long before it claims it again.
     pub(crate) lease: Duration,
     /// The window in which loads from the weight store are counted.
     pub(crate) load_window: Duration,
--- a/src/gateway/tests/brief.rs
+++ b/src/gateway/tests/brief.rs
@@ -1,4 +1,5 @@
-//! Plain calls before a few servers that queue them, from VMs that hear of their load too late.
+//! Simulates short calls from many VMs to a few servers that queue them, where load reports arrive
+//! after the calls have ended.
 
 use crate::gateway::choose::{Candidate, choose};
 use rand::rngs::SmallRng;
@@ -6,15 +7,15 @@
 use std::collections::VecDeque;
 
 const SLOTS: usize = 6;
-/// Calls that a server keeps beside those that it works on; more are refused.
-const QUEUE: usize = 30;
+/// Calls that a server queues in addition to the running ones; further calls are refused.
+const QUEUE_LIMIT: usize = 30;
 const WORK_MS: f64 = 60.0;
-/// The work of each server, in parts of the usual: they differ.
-const SERVERS: [f64; 5] = [0.75, 0.9, 1.0, 1.1, 1.35];
+/// Time that each server needs for a call, relative to `WORK_MS`.
+const WORK_FACTORS: [f64; 5] = [0.75, 0.9, 1.0, 1.1, 1.35];
 const TARGET_MS: u64 = 300;
 const RUN_MS: u64 = 10_000;
 
-/// VMs, how often each hears of the load, and how old that is by then.
+/// The number of VMs, the interval of load reports to each, and the age of a report on arrival.
 struct Vms {
     count: usize,
     interval_ms: u64,
@@ -23,7 +24,7 @@
 
 #[derive(Default)]
 struct Server {
-    /// Calls with the end of their work and their arrival.
+    /// End and arrival times of the running calls, in milliseconds.
     running: Vec<(u64, u64)>,
     queue: VecDeque<u64>,
 }
@@ -33,8 +34,8 @@
         (self.running.len() + self.queue.len()) as u32
     }
 
-    /// Begins what there is a slot for.
-    fn begin(&mut self, now_ms: u64, work: f64, random: &mut SmallRng) {
+    /// Starts queued calls in free slots.
+    fn start_queued(&mut self, now_ms: u64, work: f64, random: &mut SmallRng) {
         while self.running.len() < SLOTS {
             let Some(arrived_ms) = self.queue.pop_front() else {
                 return;
@@ -45,34 +46,34 @@
     }
 }
 
-/// The part of the calls that are answered in time, where they take `share` of the servers' time.
+/// Returns the share of calls answered in time at a load of `share` of the servers' capacity.
 fn in_time(vms: &Vms, share: f64) -> f64 {
     let mut random = SmallRng::seed_from_u64(11);
-    let mut servers: Vec<Server> = SERVERS.iter().map(|_| Server::default()).collect();
-    let mut past: Vec<Vec<u32>> = Vec::new();
-    let mut known = vec![vec![0; SERVERS.len()]; vms.count];
-    let (mut calls, mut in_time, mut due) = (0_u32, 0_u32, 0.0);
+    let mut servers: Vec<Server> = WORK_FACTORS.iter().map(|_| Server::default()).collect();
+    let mut history: Vec<Vec<u32>> = Vec::new();
+    let mut reported = vec![vec![0; WORK_FACTORS.len()]; vms.count];
+    let (mut calls, mut in_time, mut pending_calls) = (0_u32, 0_u32, 0.0);
     for now_ms in 0..RUN_MS {
-        for (server, work) in servers.iter_mut().zip(SERVERS) {
+        for (server, work) in servers.iter_mut().zip(WORK_FACTORS) {
             server.running.retain(|(end_ms, arrived_ms)| {
-                let is_over = *end_ms <= now_ms;
-                in_time += u32::from(is_over && now_ms - arrived_ms <= TARGET_MS);
-                !is_over
+                let has_ended = *end_ms <= now_ms;
+                in_time += u32::from(has_ended && now_ms - arrived_ms <= TARGET_MS);
+                !has_ended
             });
-            server.begin(now_ms, work, &mut random);
+            server.start_queued(now_ms, work, &mut random);
         }
-        past.push(servers.iter().map(Server::count).collect());
-        for (vm, known) in known.iter_mut().enumerate() {
+        history.push(servers.iter().map(Server::count).collect());
+        for (vm, reported) in reported.iter_mut().enumerate() {
             if (now_ms + vm as u64 * 37).is_multiple_of(vms.interval_ms) {
-                known.clone_from(&past[past.len().saturating_sub(vms.age_ms + 1)]);
+                reported.clone_from(&history[history.len().saturating_sub(vms.age_ms + 1)]);
             }
         }
-        due += share * (SERVERS.len() * SLOTS) as f64 / WORK_MS;
-        while due >= 1.0 {
-            due -= 1.0;
+        pending_calls += share * (WORK_FACTORS.len() * SLOTS) as f64 / WORK_MS;
+        while pending_calls >= 1.0 {
+            pending_calls -= 1.0;
             calls += 1;
-            let known = &known[random.random_range(0..vms.count)];
-            let candidates = known.iter().map(|in_flight| Candidate {
+            let reported = &reported[random.random_range(0..vms.count)];
+            let candidates = reported.iter().map(|in_flight| Candidate {
                 in_flight: *in_flight,
                 slots: SLOTS as u32,
                 prompts_wait_ms: 0.0,
@@ -83,9 +84,9 @@
                 has_failed: false,
             });
             let candidates: Vec<Candidate> = candidates.collect();
-            let place = choose(&candidates, || random.random()).expect("there are servers");
-            if servers[place].queue.len() < QUEUE {
-                servers[place].queue.push_back(now_ms);
+            let index = choose(&candidates, || random.random()).expect("there are servers");
+            if servers[index].queue.len() < QUEUE_LIMIT {
+                servers[index].queue.push_back(now_ms);
             }
         }
     }
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn calls_are_in_time_while_the_servers_have_time_for_them() {
+fn short_calls_are_answered_in_time_below_the_capacity_of_the_servers() {
     let fleets = [(9, 200, 20), (67, 250, 150), (195, 400, 300)];
     for (count, interval_ms, age_ms) in fleets {
         let vms = Vms {
--- a/src/gateway/tests/decisions.rs
+++ b/src/gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Choosing a server, the retry budget, suspects, routes, events and rates.
+//! Choosing a server, the retry budget, crash records, routes, events, demand and server entries.
 
 use crate::gateway::backlog::Backlog;
 use crate::gateway::budget::{Allowance, RetryBudget};
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn the_least_loaded_server_is_chosen_and_the_near_one_of_equals() {
-    let far = Candidate {
+fn the_least_loaded_server_is_chosen_and_a_local_one_among_equals() {
+    let remote = Candidate {
         is_near: false,
         ..candidate(10)
     };
@@ -38,26 +38,26 @@
         choose(&[candidate(40), candidate(10), candidate(30)], || 0.5),
         Some(1)
     );
-    assert_eq!(choose(&[far, candidate(10)], || 0.5), Some(1));
-    // The own zone is not worth a queue.
-    assert_eq!(choose(&[far, candidate(40)], || 0.5), Some(0));
+    assert_eq!(choose(&[remote, candidate(10)], || 0.5), Some(1));
+    // The local zone does not outweigh a much higher load.
+    assert_eq!(choose(&[remote, candidate(40)], || 0.5), Some(0));
     assert_eq!(choose(&[], || 0.5), None);
 }
 
 #[test]
-fn among_servers_alike_one_with_an_open_connection_is_chosen() {
-    let unconnected = Candidate {
+fn a_connected_server_is_preferred_among_equals() {
+    let disconnected = Candidate {
         is_connected: false,
         is_short_call: false,
         ..candidate(10)
     };
-    assert_eq!(choose(&[unconnected, candidate(14)], || 0.5), Some(1));
-    // A connection is not worth a queue.
-    assert_eq!(choose(&[unconnected, candidate(40)], || 0.5), Some(0));
+    assert_eq!(choose(&[disconnected, candidate(14)], || 0.5), Some(1));
+    // An open connection does not outweigh a much higher load.
+    assert_eq!(choose(&[disconnected, candidate(40)], || 0.5), Some(0));
 }
 
 #[test]
-fn a_server_that_failed_is_taken_only_where_there_is_no_other() {
+fn a_server_that_failed_is_chosen_only_if_there_is_no_other() {
     let failed = Candidate {
         has_failed: true,
         ..candidate(0)
@@ -67,16 +67,16 @@
 }
 
 #[test]
-fn a_server_with_prompts_waiting_is_left_for_one_with_more_streams() {
-    let reading = Candidate {
+fn a_server_with_more_streams_is_preferred_to_one_with_queued_prompts() {
+    let prefilling = Candidate {
         prompts_wait_ms: 40.0,
         ..candidate(10)
     };
-    assert_eq!(choose(&[reading, candidate(50)], || 0.5), Some(1));
+    assert_eq!(choose(&[prefilling, candidate(50)], || 0.5), Some(1));
 }
 
 #[test]
-fn a_backlog_is_read_in_the_time_that_it_tells() {
+fn a_backlog_shrinks_as_time_passes() {
     let backlog = Backlog::default();
     let start = Instant::now();
     assert_eq!(backlog.wait_ms(start), 0.0);
@@ -88,18 +88,18 @@
 }
 
 #[test]
-fn a_full_server_is_taken_only_where_all_are_full() {
-    // Chance speaks for the full one as loudly as it can.
+fn a_full_server_is_chosen_only_if_all_are_full() {
+    // The noise favours the full server as much as possible.
     let mut draws = [0.0, 1.0].into_iter();
     let chosen = choose(&[candidate(71), candidate(60)], || draws.next().unwrap());
     assert_eq!(chosen, Some(1));
     assert_eq!(choose(&[candidate(71), candidate(80)], || 0.5), Some(0));
-    // Nor do prompts that wait at the one with places.
-    let reading = Candidate {
+    // Queued prompts on the server with free slots make no difference.
+    let prefilling = Candidate {
         prompts_wait_ms: 2_000.0,
         ..candidate(60)
     };
-    assert_eq!(choose(&[candidate(71), reading], || 0.5), Some(1));
+    assert_eq!(choose(&[candidate(71), prefilling], || 0.5), Some(1));
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let service = Name::from("s");
     let start = Instant::now();
     let mut retries = Vec::new();
-    // Every request wants to be sent again, at an uneven load, for half a minute.
+    // Every request asks for a retry, spread unevenly over the VMs, for half a minute.
     for step in 0..3_000_u64 {
         let now = start + Duration::from_millis(step * 10);
         let budget = &budgets[(step * step) as usize % VMS];
@@ -132,12 +132,12 @@
 }
 
 #[test]
-fn a_request_is_refused_after_the_crashes_that_all_vms_saw() {
+fn a_request_is_refused_after_crashes_observed_by_several_vms() {
     let suspects = CrashSuspects::default();
     let now = Instant::now();
     assert_eq!(suspects.record_crash(7, now), 1);
     assert!(!suspects.is_poison(7, now));
-    // A peer tells of one more.
+    // A peer reports one more.
     suspects.merge_crashes(7, 2, now);
     assert!(suspects.is_poison(7, now));
     assert!(!suspects.is_poison(8, now));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn the_longest_prefix_decides_and_shares_are_kept() {
+fn the_longest_prefix_wins_and_targets_get_their_shares() {
     let routes = vec![route("short", "/a/"), route("long", "/a/b/")];
     let configuration = Configuration::new(3, routes, Vec::new(), Limits::default());
     let name = |path: &str| configuration.route("h", path).map(|it| it.name.to_string());
@@ -176,7 +176,7 @@
     assert_eq!(name("/a/bx").as_deref(), Some("short"));
     assert_eq!(name("/b/"), None);
     assert!(configuration.route("other", "/a/x").is_none());
-    let route = configuration.route("h", "/a/x").expect("it is there");
+    let route = configuration.route("h", "/a/x").expect("the route exists");
     let target = |point| route.pick_target(point).map(Name::to_string);
     assert_eq!(target(0.0).as_deref(), Some("most"));
     assert_eq!(target(0.89).as_deref(), Some("most"));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn events_are_cut_out_whole_wherever_the_bytes_are_split() {
+fn events_are_parsed_whole_wherever_the_bytes_are_split() {
     let text = b"id: 1\ndata: a\n\nx-version: 2\nid: 2\ndata: b\n\ndata: none\n\nid: 3\nda";
     for split in 0..text.len() {
         let mut buffer = EventBuffer::default();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn demand_fades() {
+fn demand_decays() {
     let demand = Demand::default();
     let weights = Weights {
         model: "m".into(),
@@ -219,7 +219,7 @@
         let rates = demand.rates(start + Duration::from_secs(after_s));
         rates.first().map_or(0.0, |(_, rate)| rate.busy_ms_per_s)
     };
-    // Ten requests of a second each, every second.
+    // Ten requests per second, each of which takes one second.
     assert!((8_000.0..12_000.0).contains(&rate(10)), "{}", rate(10));
     assert!(rate(13) < 2_000.0, "{}", rate(13));
     assert!(demand.rates(start + Duration::from_secs(60)).is_empty());
@@ -246,12 +246,12 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_counts_again_only_if_it_comes_back_in_time() {
+fn a_lapsed_entry_is_restored_only_within_the_time_limit() {
     let fleet = Fleet::default();
     let now = Instant::now();
     let limit = Duration::from_secs(2);
     assert_eq!(fleet.take(entry("i", ServerState::Ready)), Taken::News);
-    let server = fleet.server("i").expect("it was just entered");
+    let server = fleet.server("i").expect("the entry was just added");
     fleet.lapse("i", now);
     assert!(!server.is_listed_ready());
     assert!(
@@ -268,11 +268,11 @@
 }
 
 #[test]
-fn what_a_server_says_it_lacks_is_not_asked_of_it_for_a_while() {
+fn weights_reported_missing_are_not_requested_from_a_server_for_a_while() {
     let fleet = Fleet::default();
     let now = Instant::now();
     fleet.take(entry("i", ServerState::Ready));
-    let server = fleet.server("i").expect("it was just entered");
+    let server = fleet.server("i").expect("the entry was just added");
     let adapter = Weights {
         model: "m".into(),
         adapter: Some("a1".into()),
@@ -283,43 +283,47 @@
     assert!(server.holds(&adapter, now + Duration::from_secs(2)));
 }
 
-/// The most loads that begin in any window, if every holder begins all that it may.
-fn most_loads(takes_over: impl Fn(&LoadRateLimit, Instant)) -> usize {
+/// Returns the highest number of loads that start in any window if every leader starts as many as
+/// it is allowed to.
+fn max_loads_in_window(on_takeover: impl Fn(&LoadRateLimit, Instant)) -> usize {
     let window = Duration::from_secs(5);
     let start = Instant::now();
-    let mut begun = Vec::new();
-    // The first holder gives way to another at the worst moment, and that one to a third.
-    for holder in 0..3_u64 {
-        let ceiling = LoadRateLimit::new(window);
-        if holder > 0 {
-            takes_over(&ceiling, start + Duration::from_millis(holder * 5_500));
+    let mut started = Vec::new();
+    // Leadership passes from the first leader to a second and a third at the worst moments.
+    for leader in 0..3_u64 {
+        let rate_limit = LoadRateLimit::new(window);
+        if leader > 0 {
+            on_takeover(&rate_limit, start + Duration::from_millis(leader * 5_500));
         }
         for step in 0..55 {
-            let now = start + Duration::from_millis(holder * 5_500 + step * 100);
-            // Nothing at first, then all at once: the latest moment of each holder.
-            let may_begin = holder > 0 || step > 50;
-            while may_begin && ceiling.left(1.6, now) > 0 {
-                ceiling.note(now);
-                begun.push(now);
+            let now = start + Duration::from_millis(leader * 5_500 + step * 100);
+            // The first leader starts all its loads at the end, the later ones as soon as possible.
+            let may_start = leader > 0 || step > 50;
+            while may_start && rate_limit.left(1.6, now) > 0 {
+                rate_limit.note(now);
+                started.push(now);
             }
         }
     }
     let in_window = |from: &Instant| {
         let until = *from + window;
-        begun
+        started
             .iter()
             .filter(|at| (*from..=until).contains(*at))
             .count()
     };
-    begun.iter().map(in_window).max().unwrap_or(0)
+    started.iter().map(in_window).max().unwrap_or(0)
 }
 
 #[test]
-fn holders_that_follow_each_other_stay_below_the_ceiling_on_loads() {
-    // 1.6 a second over 5 s, a tenth more, and three.
+fn successive_leaders_stay_within_the_load_rate_limit() {
+    // 1.6 per second over 5 s, plus a tenth of that, plus three, rounded down.
     let allowed = 11;
-    assert!(most_loads(|_, _| ()) > allowed, "without the allowance");
-    assert!(most_loads(LoadRateLimit::note_takeover) <= allowed);
+    assert!(
+        max_loads_in_window(|_, _| ()) > allowed,
+        "without the limit after a takeover"
+    );
+    assert!(max_loads_in_window(LoadRateLimit::note_takeover) <= allowed);
 }
 
 #[test]
@@ -328,31 +332,35 @@
     assert!(retry_pause(4, true) > first);
     assert_eq!(retry_pause(4, true), retry_pause(9, true));
     assert_eq!(retry_pause(9, false), first);
-    // With a read that fails after 0.7 s a change is still in force within 2 s.
+    // A change still takes effect within 2 s if a read fails after 0.7 s.
     assert!(retry_pause(99, true) <= Duration::from_secs(1));
 }
 
 #[test]
-fn a_server_that_starts_again_under_its_id_holds_nothing_of_before() {
+fn a_restarted_server_keeps_no_state_of_its_previous_run() {
     let fleet = Fleet::default();
     let now = Instant::now();
     fleet.take(entry("i", ServerState::Ready));
-    let before = fleet.server("i").expect("it was just entered");
-    let told = [Holding {
+    let before = fleet.server("i").expect("the entry was just added");
+    let leader_view = [Holding {
         model: "m".into(),
         version: 1,
         adapters: Vec::new(),
     }];
-    before.note_leader_view(told.to_vec(), now);
+    before.note_leader_view(leader_view.to_vec(), now);
     before.backlog.note(50.0, now);
     let _in_flight = before.enter("m".into());
-    let again = Entry {
+    let restarted = Entry {
         started_ms: 2_000,
         holdings: Vec::new(),
         ..entry("i", ServerState::Ready)
     };
-    assert_eq!(fleet.take(again), Taken::News, "a new run is a new server");
-    let after = fleet.server("i").expect("it was entered anew");
+    assert_eq!(
+        fleet.take(restarted),
+        Taken::News,
+        "a restarted server is a new one"
+    );
+    let after = fleet.server("i").expect("the new run was added");
     assert_eq!(after.in_flight(), 0);
     assert_eq!(after.backlog.wait_ms(now), 0.0);
     let model = Weights {
@@ -364,31 +372,31 @@
 }
 
 #[test]
-fn what_a_server_wrote_before_never_replaces_what_it_wrote_since() {
+fn older_entries_of_a_server_never_replace_newer_ones() {
     let fleet = Fleet::default();
     let now = Instant::now();
-    let leaving = Entry {
+    let draining = Entry {
         started_ms: 2_000,
         sequence: 7,
         ..entry("i", ServerState::Draining)
     };
-    fleet.take(leaving.clone());
-    // A late one of the same run, and a late one of the run before with a higher count.
+    fleet.take(draining.clone());
+    // A delayed entry of the same run, and one of the previous run with a higher sequence number.
     for (started_ms, sequence) in [(2_000, 6), (1_000, 90)] {
-        let late = Entry {
+        let outdated = Entry {
             started_ms,
             sequence,
             ..entry("i", ServerState::Ready)
         };
-        assert_eq!(fleet.take(late), Taken::Renewed);
-        let server = fleet.server("i").expect("it is listed");
+        assert_eq!(fleet.take(outdated), Taken::Renewed);
+        let server = fleet.server("i").expect("the server is listed");
         assert!(!server.is_listed_ready());
     }
     fleet.lapse("i", now);
     fleet.forget_lapsed(Duration::ZERO, now);
-    // Also once it is gone.
+    // The same holds after the server has been removed.
     fleet.take(entry("i", ServerState::Ready));
     assert!(fleet.server("i").is_none());
-    fleet.take(leaving);
+    fleet.take(draining);
     assert!(fleet.server("i").is_some());
 }
--- a/src/gateway/tests/speeds.rs
+++ b/src/gateway/tests/speeds.rs
@@ -1,4 +1,4 @@
-//! Speeds are learnt from streams, whatever the engines are.
+//! Estimating the speeds of models from streams, for engines of different speeds.
 
 use crate::gateway::Model;
 use crate::gateway::speeds::Speeds;
@@ -19,12 +19,18 @@
     }
 }
 
-/// Plays `count` first events of a model that reads a token in `read_ms`.
-fn play(speeds: &Speeds, model: &Model, read_ms: f64, count: usize, random: &mut SmallRng) {
+/// Records `count` first events of a model with a prefill time of `prefill_ms` per token.
+fn record_first_events(
+    speeds: &Speeds,
+    model: &Model,
+    prefill_ms: f64,
+    count: usize,
+    random: &mut SmallRng,
+) {
     for _ in 0..count {
         let tokens = random.random_range(200..4_000);
-        // Two steps of a batch on the way, and now and then a prompt that nobody told of.
-        let mut took_ms = 25.0 + random.random_range(0.0..12.0) + f64::from(tokens) * read_ms;
+        // Two batch steps, and in some cases another prompt that was not advertised.
+        let mut took_ms = 25.0 + random.random_range(0.0..12.0) + f64::from(tokens) * prefill_ms;
         if random.random_bool(0.1) {
             took_ms += 100.0;
         }
@@ -33,22 +39,22 @@
 }
 
 #[test]
-fn models_that_differ_by_a_factor_of_eight_are_told_apart_after_ten_streams() {
+fn models_that_differ_by_a_factor_of_eight_are_distinguished_after_ten_streams() {
     let mut random = SmallRng::seed_from_u64(1);
     let speeds = Speeds::default();
     let (slow, fast) = (model("slow", 72_700.0), model("fast", 65_100.0));
-    play(&speeds, &slow, 0.049, 10, &mut random);
-    play(&speeds, &fast, 0.0064, 10, &mut random);
+    record_first_events(&speeds, &slow, 0.049, 10, &mut random);
+    record_first_events(&speeds, &fast, 0.0064, 10, &mut random);
     let (slow, fast) = (speeds.read_ms(&slow, 1_000), speeds.read_ms(&fast, 1_000));
     assert!((35.0..65.0).contains(&slow), "{slow}");
     assert!(fast < 16.0, "{fast}");
 }
 
 #[test]
-fn a_model_not_asked_for_yet_is_taken_for_one_of_its_size() {
+fn a_model_without_observations_uses_those_of_models_of_its_size() {
     let mut random = SmallRng::seed_from_u64(2);
     let speeds = Speeds::default();
-    play(&speeds, &model("known", 65_100.0), 0.0064, 30, &mut random);
+    record_first_events(&speeds, &model("known", 65_100.0), 0.0064, 30, &mut random);
     let other = speeds.read_ms(&model("new", 65_100.0), 1_000);
     assert!(other < 18.0, "{other}");
     let of_other_size = speeds.read_ms(&model("large", 72_700.0), 1_000);
@@ -56,14 +62,14 @@
 }
 
 #[test]
-fn a_runner_that_is_ill_for_a_while_does_not_bend_what_is_learnt() {
+fn a_runner_that_is_slow_for_a_while_does_not_distort_the_estimate() {
     let mut random = SmallRng::seed_from_u64(3);
     let speeds = Speeds::default();
     let known = model("m", 72_700.0);
-    play(&speeds, &known, 0.03, 60, &mut random);
-    for turn in 0..40 {
-        play(&speeds, &known, 0.03, 3, &mut random);
-        if turn % 2 == 0 {
+    record_first_events(&speeds, &known, 0.03, 60, &mut random);
+    for round in 0..40 {
+        record_first_events(&speeds, &known, 0.03, 3, &mut random);
+        if round % 2 == 0 {
             speeds.note_first_event(&known, 1_000, Duration::from_secs(20));
         }
     }
@@ -72,19 +78,19 @@
 }
 
 #[test]
-fn how_long_streams_last_follows_their_tokens() {
+fn stream_durations_follow_the_token_limit() {
     let speeds = Speeds::default();
     let known = model("m", 72_700.0);
     for tokens in [50, 100, 200, 400].repeat(5) {
         let took = Duration::from_millis(u64::from(tokens) * 11);
         speeds.note_stream(&known, tokens, took);
     }
-    let lasts_ms = speeds.stream_ms(&known, 100);
-    assert!((900.0..1_200.0).contains(&lasts_ms), "{lasts_ms}");
+    let duration_ms = speeds.stream_ms(&known, 100);
+    assert!((900.0..1_200.0).contains(&duration_ms), "{duration_ms}");
 }
 
 #[test]
-fn a_few_streams_say_more_than_what_was_assumed() {
+fn a_few_streams_outweigh_the_assumed_duration() {
     let speeds = Speeds::default();
     let model = model("a", 72_700.0);
     let tokens = 950;
@@ -98,7 +104,7 @@
 
 proptest! {
     #[test]
-    fn whatever_comes_speeds_stay_within_bounds(
+    fn estimates_stay_within_bounds_for_any_observations(
         points in prop::collection::vec((any::<u32>(), 0_u64..10_000_000), 0..60),
     ) {
         let speeds = Speeds::default();
