--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -28,8 +28,8 @@
 /// The requests in flight at other VMs are known with a delay of up to 200 ms, in which a busy
 /// model receives dozens of requests. If all VMs chose the server that looked least loaded, they
 /// would queue their prompts on the same one whenever messages about these prompts are lost. At
-/// half of the prefill capacity, queued prompts then stall streams in 0.1 % of the time, compared
-/// with 13 to 17 % at a bound of 0.1 with 50 ms in `PREFILL_MS_PER_LOAD`.
+/// half of the prefill capacity, queued prompts stall streams in 13 to 17 % of the time with a
+/// bound of 0.1 and a `PREFILL_MS_PER_LOAD` of 50, and in 0.1 % with the present values.
 const MAX_NOISE: f64 = 1.0;
 /// Weight of a server's load in the score of a short call, relative to its weight for a stream.
 ///
