--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -38,7 +38,7 @@
 /// Passes requests on.
 pub(crate) struct Relay<P> {
     pub(crate) state: Rc<State>,
-    pub(crate) links: Links,
+    pub(crate) pool: Links,
     pub(crate) turns: Rc<WaitQueues>,
     budget: RetryBudget,
     protocol: PhantomData<P>,
@@ -54,7 +54,7 @@
             window: bounds.retry_window,
         });
         Self {
-            links: Links::new(state.metrics.connections_opened.clone()),
+            pool: Links::new(state.metrics.connections_opened.clone()),
             turns: Rc::default(),
             state,
             budget,
@@ -66,7 +66,7 @@
     pub(crate) async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
-        let ask = match P::read_ask(&head) {
+        let ask = match P::read_caller_request(&head) {
             Ok(ask) => ask,
             Err(Malformed(why)) => {
                 warn!(why, "request malformed");
@@ -215,7 +215,7 @@
             Ok(Ok(body)) => {
                 server.note_success();
                 let head = exchange.head.clone();
-                self.links.keep(exchange);
+                self.pool.keep(exchange);
                 Some((head, body.to_bytes()))
             }
             Ok(Err(error)) => {
@@ -231,7 +231,7 @@
     pub(crate) fn note_broken(&self, call: &Call, server: &Rc<Server>) {
         let now = Instant::now();
         server.note_failure(now);
-        self.links.clear(server);
+        self.pool.clear(server);
         let state = self.state.clone();
         let server = server.clone();
         let fingerprint = call.fingerprint;
@@ -318,7 +318,7 @@
         self.note_sending(call, server);
         let request = || P::to_server(&call.ask, &options);
         let sent_at = Instant::now();
-        let sent = self.links.exchange::<P>(server, call.model(), request);
+        let sent = self.pool.exchange::<P>(server, call.model(), request);
         let sent = self.await_head(call, server, sent).await;
         let now = Instant::now();
         match sent {
@@ -386,11 +386,12 @@
             .request_id
             .as_ref()
             .is_some_and(|id| *id != call.ask.id);
-        let is_refused = exchange.reply.is_not_run || status == StatusCode::MISDIRECTED_REQUEST;
+        let is_refused =
+            exchange.reply.is_not_executed || status == StatusCode::MISDIRECTED_REQUEST;
         if is_refused && !is_other {
             self.state.metrics.note_attempt("refused");
             self.note_refused(call, &exchange, now);
-            self.links.keep(exchange);
+            self.pool.keep(exchange);
             if call.refused >= MAX_REFUSED {
                 return Err(Some(self.give_up(call)));
             }
@@ -401,7 +402,7 @@
             warn!(request = %call.ask.id, server = %server.id, is_other, "answer is not the request's");
             self.state.metrics.note_attempt("not_its_answer");
             server.note_failure(now);
-            self.links.clear(&server);
+            self.pool.clear(&server);
             if call.may_run_again() {
                 return Err(None);
             }
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -211,7 +211,7 @@
     fn candidate(&self, call: &Call, server: &Server, now: Instant) -> Candidate {
         let in_flight = server.in_flight() + self.state.peers.in_flight(&server.id);
         let zone = &self.state.settings.availability_zone;
-        let is_connected = self.links.has_idle(server, now);
+        let is_connected = self.pool.has_idle(server, now);
         server.with(|entry| Candidate {
             in_flight,
             slots: entry.slots,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -205,21 +205,21 @@
         let mut told = Vec::new();
         for change in changes.items {
             match change {
-                ServerChange::Here(entry) => {
+                ServerChange::Upserted(entry) => {
                     let taken = self.fleet.take(entry.clone());
                     if taken == Taken::News {
                         has_news = true;
                         info!(server = %entry.id, state = ?entry.state, "server listed");
                     }
                     if taken > Taken::Renewed {
-                        told.push(ServerChange::Here(entry));
+                        told.push(ServerChange::Upserted(entry));
                     }
                 }
-                ServerChange::Gone(id) => {
+                ServerChange::Removed(id) => {
                     has_news |= self.fleet.server(&id).is_some();
                     self.fleet.lapse(&id, now);
                     // Others may know it still, where this VM alone met another one at its address.
-                    told.push(ServerChange::Gone(id));
+                    told.push(ServerChange::Removed(id));
                 }
             }
         }
--- a/src/platform/requests.rs
+++ b/src/platform/requests.rs
@@ -141,7 +141,7 @@
 }
 
 impl Protocol for PlatformProtocol {
-    fn read_ask(head: &request::Parts) -> Result<CallerRequest, Malformed> {
+    fn read_caller_request(head: &request::Parts) -> Result<CallerRequest, Malformed> {
         let id = text(&head.headers, &REQUEST_ID).ok_or(Malformed("no request id"))?;
         let host = head
             .uri
@@ -194,8 +194,8 @@
         if let Some(last_event) = options.last_event {
             headers.insert(LAST_EVENT, last_event.into());
         }
-        if let Some(weights) = options.weights {
-            headers.insert(EXPECT_WEIGHTS, weights.into());
+        if let Some(weights_version) = options.weights_version {
+            headers.insert(EXPECT_WEIGHTS, weights_version.into());
         }
         request
     }
@@ -204,10 +204,10 @@
         let headers = &head.headers;
         Reply {
             request_id: text(headers, &REQUEST_ID).map(Name::from),
-            is_not_run: headers.contains_key(&NOT_RUN),
+            is_not_executed: headers.contains_key(&NOT_RUN),
             server: text(headers, &SERVER).map(Name::from),
             is_signed: headers.contains_key(&SIGNATURE),
-            weights: number(headers, &WEIGHTS),
+            weights_version: number(headers, &WEIGHTS),
             keep_alive: keep_alive_of(headers),
         }
     }
