--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -3,8 +3,8 @@
 use crate::callers::Organisation;
 use crate::gateway::failure::Failure;
 use crate::gateway::grant::Grant;
-use crate::gateway::hold_time::Patience;
-use crate::gateway::{Ask, Route, Weights};
+use crate::gateway::hold_time::RequestTiming;
+use crate::gateway::{CallerRequest, Route, Weights};
 use crate::inventory::Name;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 /// One request in flight, from its arrival to the end of its answer.
 #[derive(Debug)]
 pub(crate) struct Call {
-    pub(crate) request: Ask,
+    pub(crate) request: CallerRequest,
     pub(crate) cost: Cost,
     /// When the request was last sent to a server, and under which load.
     pub(crate) last_dispatch: Option<Dispatch>,
@@ -108,8 +108,8 @@
     }
 
     /// The times that limit when the request must be sent.
-    pub(crate) fn timing(&self) -> Patience {
-        Patience {
+    pub(crate) fn timing(&self) -> RequestTiming {
+        RequestTiming {
             arrived: self.arrived,
             target: Duration::from_millis(self.route.target_latency_ms),
             max_pause: Duration::from_millis(self.route.max_pause_ms),
@@ -127,7 +127,7 @@
     pub(crate) fn hold_until(&self) -> Instant {
         let answer = Duration::from_secs_f64(self.cost.stream_ms / 1_000.0) + self.prefill_time();
         let latest = self.deadline.checked_sub(answer).unwrap_or(self.arrived);
-        self.timing().limit().min(latest).max(self.arrived)
+        self.timing().hold_limit().min(latest).max(self.arrived)
     }
 
     /// How long the request may be held, from its arrival.
--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -1,7 +1,7 @@
 //! Interfaces between the gateway and the outside: the request protocol, the log and the runners,
 //! with one small trait for each.
 
-use crate::gateway::{Ask, Configuration, Entry};
+use crate::gateway::{CallerRequest, Configuration, Entry};
 use crate::http::Body;
 use crate::inventory::Name;
 use hyper::http::{request, response};
@@ -60,10 +60,10 @@
 /// The request protocol, towards callers and towards backend servers.
 pub(crate) trait Protocol: 'static {
     /// Parses the head of a caller's request; the body is read later.
-    fn read_caller_request(head: &request::Parts) -> Result<Ask, Malformed>;
+    fn read_caller_request(head: &request::Parts) -> Result<CallerRequest, Malformed>;
 
     /// Builds the request that is sent to a backend server.
-    fn to_server(ask: &Ask, options: &SendOptions<'_>) -> Request<Body>;
+    fn to_server(ask: &CallerRequest, options: &SendOptions<'_>) -> Request<Body>;
 
     /// Parses the head of a backend server's response.
     fn read_reply(head: &response::Parts) -> Reply;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -9,8 +9,8 @@
 use crate::gateway::fleet::Server;
 use crate::gateway::grant::Grant;
 use crate::gateway::state::State;
-use crate::gateway::wait_queue::Turns;
-use crate::gateway::{Ask, Malformed, Protocol, RouteKind, SendOptions};
+use crate::gateway::wait_queue::WaitQueues;
+use crate::gateway::{CallerRequest, Malformed, Protocol, RouteKind, SendOptions};
 use crate::http::{Body, ReadError, read_body};
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -41,7 +41,7 @@
 pub(crate) struct Relay<P> {
     pub(crate) state: Rc<State>,
     pub(crate) pool: ConnectionPool,
-    pub(crate) queue: Rc<Turns>,
+    pub(crate) queue: Rc<WaitQueues>,
     budget: RetryBudget,
     protocol: PhantomData<P>,
 }
@@ -101,7 +101,7 @@
 
     async fn answer(
         self: Rc<Self>,
-        request: Ask,
+        request: CallerRequest,
         body: Incoming,
         arrived: Instant,
     ) -> Result<Response<Body>, Failure> {
@@ -118,7 +118,7 @@
     /// Finds the route, takes the request's share of the quota and reads the body.
     async fn prepare_call(
         &self,
-        mut request: Ask,
+        mut request: CallerRequest,
         body: Incoming,
         arrived: Instant,
     ) -> Result<Call, Failure> {
@@ -249,7 +249,7 @@
         let id = call.request.id.clone();
         compio::runtime::spawn(async move {
             if is_refused(server.address).await {
-                let crashes = state.suspects.note_crash(fingerprint, now);
+                let crashes = state.suspects.record_crash(fingerprint, now);
                 warn!(request = %id, server = %server.id, fingerprint, crashes, "server crashed");
                 state.peers.tell_crash(fingerprint, crashes, now);
             }
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -7,7 +7,7 @@
 use crate::gateway::failure::Failure;
 use crate::gateway::fleet::Server;
 use crate::gateway::relay::Relay;
-use crate::gateway::wait_queue::Turn;
+use crate::gateway::wait_queue::QueuedRequest;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tracing::info;
@@ -126,8 +126,8 @@
                 return obstacle.resolve(call);
             }
             if let Some(weights) = call.weights() {
-                let due = call.timing().due(call.prefill_time());
-                position.get_or_insert_with(|| self.queue.enter(&weights, due));
+                let send_by = call.timing().send_by(call.prefill_time());
+                position.get_or_insert_with(|| self.queue.enqueue(&weights, send_by));
                 if matches!(obstacle, Obstacle::NoServer) {
                     waiting.get_or_insert_with(|| self.state.wait_for(&weights));
                 }
@@ -142,7 +142,11 @@
     }
 
     /// Selects the server that the request can be sent to now.
-    fn try_select(&self, call: &Call, position: Option<&Turn>) -> Result<Rc<Server>, Obstacle> {
+    fn try_select(
+        &self,
+        call: &Call,
+        position: Option<&QueuedRequest>,
+    ) -> Result<Rc<Server>, Obstacle> {
         let choice = self.pick(call).ok_or(Obstacle::NoServer)?;
         let candidate = &choice.candidate;
         // A stream that has already started continues without waiting, even where others wait.
@@ -156,11 +160,11 @@
             let is_next = match position {
                 Some(position) => position.is_next(now),
                 None => {
-                    let due = call.timing().due(call.prefill_time());
-                    self.queue.is_first(&weights, due, now)
+                    let send_by = call.timing().send_by(call.prefill_time());
+                    self.queue.would_be_first(&weights, send_by, now)
                 }
             };
-            if !is_next || candidate.is_reading(call.cost.read_ms, max_pause_ms) {
+            if !is_next || candidate.defers_prompt(call.cost.read_ms, max_pause_ms) {
                 return Err(Obstacle::Prefilling(choice));
             }
         }
@@ -221,7 +225,7 @@
             is_near: entry.availability_zone == *zone,
             is_far_late: self.state.peers.is_far_late(),
             is_connected,
-            is_brief: call.request.generation.is_none(),
+            is_short_call: call.request.generation.is_none(),
             has_failed: server.is_passed_over(now) || call.tried.contains(&server.id),
         })
     }
