--- a/src/gateway/order_dispatch.rs
+++ b/src/gateway/order_dispatch.rs
@@ -3,7 +3,7 @@
 use crate::gateway::fleet::{Incarnation, Server};
 use crate::gateway::load_limit::Ceiling;
 use crate::gateway::order_queue::Chain;
-use crate::gateway::peers::{Urgency, WantedRate};
+use crate::gateway::peers::{DemandRate, UpdateScope};
 use crate::gateway::planning::{Planning, RunnerView, Steps};
 use crate::gateway::runner_state::Tracked;
 use crate::gateway::state::State;
@@ -70,7 +70,7 @@
         self.state.metrics.is_leading.set(1);
         self.fence.set(Some(fence));
         self.state.fence.set(fence);
-        self.state.peers.hurry();
+        self.state.peers.trigger_update_to_all();
     }
 
     /// Gives no further order.
@@ -114,7 +114,7 @@
     }
 
     /// The models that were asked for lately.
-    fn asked_lately(&self, demand: &HashMap<Weights, WantedRate>, now: Instant) -> HashSet<Name> {
+    fn asked_lately(&self, demand: &HashMap<Weights, DemandRate>, now: Instant) -> HashSet<Name> {
         let mut asked = self.asked.borrow_mut();
         for weights in demand.keys() {
             asked.insert(weights.model.clone(), now);
@@ -213,7 +213,7 @@
         if has_changed {
             *self.state.leader_view.borrow_mut() = view;
             self.state.changed.notify();
-            self.state.peers.hurry_to(Urgency::Holdings);
+            self.state.peers.trigger_update(UpdateScope::Holdings);
         }
     }
 
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -240,7 +240,7 @@
             if is_refused(server.address).await {
                 let crashes = state.suspects.note_crash(fingerprint, now);
                 warn!(request = %id, server = %server.id, fingerprint, crashes, "server crashed");
-                state.peers.tell_crash(fingerprint, crashes, now);
+                state.peers.report_crash(fingerprint, crashes, now);
             }
         })
         .detach();
@@ -277,7 +277,7 @@
             return true;
         }
         let now = Instant::now();
-        let vms = self.state.peers.most_vms(now);
+        let vms = self.state.peers.peak_vms(now);
         let is_taken = self.budget.take(&call.service, vms, now);
         call.has_retry.set(is_taken);
         if !is_taken {
@@ -368,7 +368,7 @@
         if call.ask.generation.is_some() {
             server.backlog.note(call.cost.read_ms, now);
             let peers = &self.state.peers;
-            peers.tell_prompt(&server.id, call.cost.read_ms, now);
+            peers.report_prompt(&server.id, call.cost.read_ms, now);
         }
     }
 
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -89,7 +89,7 @@
     let stopped_at = Instant::now();
     info!("stopping");
     state.shutdown.leave();
-    state.peers.hurry();
+    state.peers.trigger_update_to_all();
     leading.leave().await;
     drain(&state, stopped_at).await;
     info!(open = state.shutdown.open(), "stopped");
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -7,7 +7,7 @@
 use crate::gateway::directory_updates::{Assembly, DirectoryNews};
 use crate::gateway::fleet::{Fleet, Holding, Incarnation, Taken};
 use crate::gateway::log_follower::{Following, Readings, follows_closely};
-use crate::gateway::peers::{Peers, Urgency, WantedRate};
+use crate::gateway::peers::{DemandRate, Peers, UpdateScope};
 use crate::gateway::speeds::Speeds;
 use crate::gateway::{
     Changes, Configuration, Generation, Metrics, ServerChange, Settings, Weights,
@@ -250,7 +250,7 @@
     pub(crate) fn is_ready(&self) -> bool {
         !self.shutdown.is_leaving()
             && self.is_directory_known.get()
-            && self.peers.are_sought(Instant::now())
+            && self.peers.is_discovery_done(Instant::now())
             && self.configuration.borrow().is_some()
     }
 
@@ -258,7 +258,7 @@
     pub(crate) fn wait_for(self: &Rc<Self>, weights: &Weights) -> WaitingGuard {
         let mut waiting = self.waiting.borrow_mut();
         *waiting.entry(weights.clone()).or_default() += 1;
-        self.peers.hurry_to(Urgency::Holder);
+        self.peers.trigger_update(UpdateScope::Leader);
         WaitingGuard {
             state: self.clone(),
             weights: weights.clone(),
@@ -266,8 +266,8 @@
     }
 
     /// The demand at this VM.
-    pub(crate) fn own_demand(&self, now: Instant) -> Vec<(Weights, WantedRate)> {
-        let mut demand: HashMap<Weights, WantedRate> = HashMap::new();
+    pub(crate) fn own_demand(&self, now: Instant) -> Vec<(Weights, DemandRate)> {
+        let mut demand: HashMap<Weights, DemandRate> = HashMap::new();
         for (weights, rate) in self.demand.rates(now) {
             demand.insert(weights, rate);
         }
@@ -278,8 +278,8 @@
     }
 
     /// The demand at all VMs.
-    pub(crate) fn demand(&self, now: Instant) -> HashMap<Weights, WantedRate> {
-        let mut demand: HashMap<Weights, WantedRate> = HashMap::new();
+    pub(crate) fn demand(&self, now: Instant) -> HashMap<Weights, DemandRate> {
+        let mut demand: HashMap<Weights, DemandRate> = HashMap::new();
         let all = self.own_demand(now).into_iter().chain(self.peers.demands());
         for (weights, rate) in all {
             let sum = demand.entry(weights).or_default();
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -93,12 +93,12 @@
 fn a_prompt_that_has_been_read_is_not_told_any_more() {
     let now = Instant::now();
     let peers = Peers::new("10.1.0.1:7380".parse().expect("an address"), now);
-    peers.tell_prompt(&"i-1".into(), 18.0, now);
-    peers.tell_prompt(&"i-2".into(), 50.0, now);
-    let told = peers.take_untold_prompts(9, now + Duration::from_millis(30));
+    peers.report_prompt(&"i-1".into(), 18.0, now);
+    peers.report_prompt(&"i-2".into(), 50.0, now);
+    let told = peers.take_unsent_prompts(9, now + Duration::from_millis(30));
     let servers: Vec<&str> = told.iter().map(|it| it.server.as_str()).collect();
     assert_eq!(servers, ["i-2"]);
-    assert!(peers.take_untold_prompts(9, now).is_empty());
+    assert!(peers.take_unsent_prompts(9, now).is_empty());
 }
 
 fn read(state: &State, items: Vec<ServerChange>) -> usize {
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::directory_updates::news_of;
 use crate::gateway::log_follower::{Reading, Readings};
-use crate::gateway::peers::Urgency;
+use crate::gateway::peers::UpdateScope;
 use crate::gateway::state::State;
 use crate::gateway::{Changes, ConfigSource, Directory, ServerChange, StoreError};
 use crate::inventory::Name;
@@ -85,7 +85,7 @@
                     }
                     let is_change = before.is_some_and(|before| before.news < reading.news);
                     if is_change && self.state.follows_closely(reading.at) {
-                        self.state.peers.hurry_to(Urgency::Zone);
+                        self.state.peers.trigger_update(UpdateScope::Zone);
                     }
                     let is_news = |told: Readings| told.configuration.news > reading.news;
                     self.await_turn(read_at, CONFIGURATION_INTERVAL, is_news)
@@ -218,7 +218,9 @@
             is_told = news.is_some(),
             "directory changed"
         );
-        self.state.peers.tell_news(news.unwrap_or_default());
+        self.state
+            .peers
+            .queue_directory_updates(news.unwrap_or_default());
     }
 
     /// Servers that a whole reading did not bring.
