--- a/src/gateway/gossip_targets.rs
+++ b/src/gateway/gossip_targets.rs
@@ -1,77 +1,78 @@
-//! Which VMs are spoken to in one turn: all of a small fleet, parts of a large one.
+//! Selects the recipients of one gossip round: all VMs of a small fleet, a part of a large one.
 
 use crate::inventory::Name;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Messages to other zones that a VM sends in one turn, at most: bytes between zones cost, and with
-/// 76 VMs messages to all were 0.3 of 0.38 GB in a quiet minute.
-const MAX_FAR_MESSAGES: usize = 12;
-/// Messages to the own zone that a VM sends in one turn, at most: the load of one VM of a large zone
-/// changes a runner's little. With fewer, signs of life of 410 VMs spread too slowly
-/// (`tests/views.rs`).
-const MAX_NEAR_MESSAGES: usize = 28;
+/// The number of messages that a VM sends to remote zones per round, at most. Traffic between zones
+/// is expensive: with 76 VMs, messages to all of them made up 0.3 of 0.38 GB in an idle minute.
+const MAX_REMOTE_MESSAGES: usize = 12;
+/// The number of messages that a VM sends to its own zone per round, at most. In a large zone a
+/// single VM adds little to the load of a runner, so that its report may come later. With fewer
+/// messages the signs of life of 410 VMs spread too slowly (`tests/views.rs`).
+const MAX_LOCAL_MESSAGES: usize = 28;
 
-/// How often a VM hears of each VM in one turn, over all messages from its own zone: many of them are
-/// drawn, and a tenth of the messages lost still leaves no view without a sign of life for long
-/// (`tests/views.rs`).
-const TELLINGS_A_TURN: usize = 3;
-/// VMs that a message to the own zone tells of at most, 25 bytes each: they fit one datagram.
-const MAX_VMS_A_MESSAGE: usize = 40;
+/// How many times per round a VM is listed in the messages that one VM receives from its own zone,
+/// on average. The listed VMs are drawn at random; with three, every view stays up to date even
+/// when a tenth of the messages is lost (`tests/views.rs`).
+const MENTIONS_PER_ROUND: usize = 3;
+/// The number of VMs that a message to the local zone lists, at most. Each takes 25 bytes, so that
+/// they fit one datagram.
+const MAX_VMS_PER_MESSAGE: usize = 40;
 
-/// Where messages go.
+/// The recipients of gossip messages.
 #[derive(Debug, Default)]
 pub(super) struct Targets {
-    /// VMs in other zones, by zone and address.
+    /// The addresses of the VMs in remote zones, by zone.
     pub(super) far: BTreeMap<Name, Vec<SocketAddr>>,
-    /// VMs in the own zone, and those whose zone is not known yet.
+    /// The addresses of the VMs in the local zone, and of those whose zone is not known yet.
     pub(super) near: Vec<SocketAddr>,
 }
 
 impl Targets {
-    /// How many VMs stand in other zones.
-    fn far_count(&self) -> usize {
+    /// The number of VMs in remote zones.
+    fn remote_count(&self) -> usize {
         self.far.values().map(Vec::len).sum()
     }
 
-    /// After how many turns each VM in another zone has been spoken to once.
+    /// The number of rounds in which every VM in a remote zone is sent to once.
     pub(super) fn remote_rounds(&self) -> usize {
-        self.far_count().div_ceil(MAX_FAR_MESSAGES).max(1)
+        self.remote_count().div_ceil(MAX_REMOTE_MESSAGES).max(1)
     }
 
-    /// After how many turns each VM in the own zone has been spoken to once.
+    /// The number of rounds in which every VM in the local zone is sent to once.
     pub(super) fn local_rounds(&self) -> usize {
-        self.near.len().div_ceil(MAX_NEAR_MESSAGES).max(1)
+        self.near.len().div_ceil(MAX_LOCAL_MESSAGES).max(1)
     }
 
-    /// How many VMs a message to the own zone tells of.
+    /// The number of VMs that a message to the local zone lists.
     pub(super) fn vms_per_message(&self) -> usize {
-        let vms = self.far_count() + self.near.len();
-        let heard = self.near.len() / self.local_rounds();
-        let told = (vms * TELLINGS_A_TURN).div_ceil(heard.max(1));
-        told.min(MAX_VMS_A_MESSAGE)
+        let vms = self.remote_count() + self.near.len();
+        let received = self.near.len() / self.local_rounds();
+        let listed = (vms * MENTIONS_PER_ROUND).div_ceil(received.max(1));
+        listed.min(MAX_VMS_PER_MESSAGE)
     }
 
-    /// The part of the own zone that is spoken to in this `turn`.
-    pub(super) fn local_part(&self, turn: usize) -> Vec<SocketAddr> {
-        part(&self.near, turn, self.local_rounds())
+    /// The VMs of the local zone that are sent to in this `round`.
+    pub(super) fn local_part(&self, round: usize) -> Vec<SocketAddr> {
+        part(&self.near, round, self.local_rounds())
     }
 
-    /// The part of the VMs in other zones that is spoken to in this `turn`: so many of each zone
-    /// that all have been in as many turns as there are parts, and that each zone hears something
-    /// in each turn.
+    /// The VMs of each remote zone that are sent to in this `round`. Every VM is sent to once in
+    /// [`Self::remote_rounds`] rounds, and a zone with at least that many VMs receives messages in
+    /// every round.
     pub(super) fn remote_part(
         &self,
-        turn: usize,
+        round: usize,
     ) -> impl Iterator<Item = (&Name, Vec<SocketAddr>)> {
         let parts = self.remote_rounds();
-        let far = self.far.iter();
-        far.map(move |(zone, vms)| (zone, part(vms, turn, parts)))
+        let zones = self.far.iter();
+        zones.map(move |(zone, vms)| (zone, part(vms, round, parts)))
     }
 }
 
-/// One of `parts` parts of the VMs, by the turn.
-fn part(vms: &[SocketAddr], turn: usize, parts: usize) -> Vec<SocketAddr> {
-    let of_part = vms.iter().skip(turn % parts).step_by(parts);
+/// The part of the VMs whose index modulo `parts` is that of the round.
+fn part(vms: &[SocketAddr], round: usize, parts: usize) -> Vec<SocketAddr> {
+    let of_part = vms.iter().skip(round % parts).step_by(parts);
     of_part.copied().collect()
 }
