--- a/src/gateway/tests/members.rs
+++ b/src/gateway/tests/members.rs
@@ -1,4 +1,4 @@
-//! Which VMs are members of the log's group, at any size of the fleet.
+//! Which VMs are members of the log's group, for fleets of different sizes.
 
 use crate::gateway::gossip_message::{Digest, zones_of};
 use crate::gateway::peers::{GROUP_MEMBERS, Peers};
@@ -7,33 +7,33 @@
 use std::time::{Duration, Instant};
 
 const ZONES: usize = 3;
-const TURN: Duration = Duration::from_millis(200);
-/// Long after the start of all.
+const ROUND: Duration = Duration::from_millis(200);
+/// A time after the start at which all VMs have found each other.
 const LATER: Duration = Duration::from_secs(10);
 
-/// All VMs, each knowing all others as seen at `seen_at`.
+/// Creates the peers of `count` VMs that all have a sign of life of each other at `seen_at`.
 fn fleet(count: usize, started_at: Instant, seen_at: Instant) -> Vec<Peers> {
     let fleet: Vec<Peers> = (0..count)
         .map(|index| Peers::new(address(index), started_at))
         .collect();
-    hear(&fleet, 0..count, seen_at);
+    receive_sightings(&fleet, 0..count, seen_at);
     fleet
 }
 
-/// All VMs hear of some, and forget those that they have not heard of for long.
-fn hear(fleet: &[Peers], heard: impl Iterator<Item = usize>, now: Instant) {
-    let sightings = heard.map(|index| Sighting {
+/// Gives all VMs a sign of life of the `alive` ones, and lets them remove silent VMs.
+fn receive_sightings(fleet: &[Peers], alive: impl Iterator<Item = usize>, now: Instant) {
+    let sightings = alive.map(|index| Sighting {
         address: address(index),
         availability_zone: format!("z{}", index % ZONES).into(),
         boot: 1,
         seen_at: now,
     });
-    let told = Digest {
+    let digest = Digest {
         vms: zones_of(&sightings.collect::<Vec<_>>(), now),
         ..Digest::default()
     };
     for peers in fleet {
-        peers.merge_sightings(&told, now);
+        peers.merge_sightings(&digest, now);
         peers.forget_silent(now);
     }
 }
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn members_are_as_many_at_any_size_and_in_all_zones() {
+fn the_number_of_members_is_bounded_and_all_zones_have_some() {
     let now = Instant::now();
     for count in [9, 24, 76, 195, 410] {
         let fleet = fleet(count, now, now + LATER);
@@ -66,21 +66,24 @@
 }
 
 #[test]
-fn others_take_the_place_of_members_that_are_gone() {
+fn members_that_are_gone_are_replaced() {
     let now = Instant::now();
     let fleet = fleet(76, now, now + LATER);
     let before = members(&fleet, now + LATER);
     let is_alive = |index: usize| !index.is_multiple_of(ZONES);
-    // A zone falls silent; the others go on hearing each other.
+    // One zone falls silent; the VMs of the others still receive signs of life of each other.
     let mut later = now + LATER;
-    while later < now + LATER + LIVENESS_TIMEOUT + TURN {
-        hear(&fleet, (0..76).filter(|index| is_alive(*index)), later);
-        later += TURN;
+    while later < now + LATER + LIVENESS_TIMEOUT + ROUND {
+        receive_sightings(&fleet, (0..76).filter(|index| is_alive(*index)), later);
+        later += ROUND;
     }
     let after = members(&fleet, later);
     let living = after.iter().filter(|index| is_alive(**index)).count();
     assert_eq!(living, GROUP_MEMBERS);
     let kept = before.iter().filter(|index| is_alive(**index));
     assert!(kept.clone().all(|index| after.contains(index)));
-    assert!(kept.count() >= 12, "as many as the log deals partitions to");
+    assert!(
+        kept.count() >= 12,
+        "as many as the log assigns partitions to"
+    );
 }
