--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -1,4 +1,4 @@
-//! The messages between VMs.
+//! The gossip messages between VMs.
 
 use crate::callers::{SPANS, Tally, Usage};
 use crate::gateway::directory_updates::DirectoryNews;
@@ -9,98 +9,104 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// Organisations that one message tells of at most, some 25 bytes each: they fit one datagram.
-const MAX_USAGES: usize = 40;
+/// The number of organisations in one message, at most. Each takes some 25 bytes, so that they fit
+/// one datagram.
+const MAX_USAGES_PER_MESSAGE: usize = 40;
 
-/// What one VM tells the others.
+/// A gossip message from one VM.
+///
+/// A full digest replaces the earlier state of its sender; a partial one ([`Self::is_partial`])
+/// only applies the fields that it carries.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct Digest {
-    /// The sender's process.
+    /// Identifies the process of the sender.
     #[prost(uint64, tag = "1")]
     pub(super) boot: u64,
-    /// Whether the sender is about to leave.
+    /// Whether the sender is shutting down.
     #[prost(bool, tag = "2")]
     pub(super) is_leaving: bool,
-    /// The sender's requests in flight; servers without any are left out.
+    /// The requests that the sender has in flight. Servers without any are left out.
     #[prost(message, repeated, tag = "3")]
     pub(super) loads: Vec<ServerRequests>,
-    /// Whether this message tells the demand at the sender.
+    /// Whether this message carries demand. An empty list then means that there is none.
     #[prost(bool, tag = "12")]
     pub(super) has_demand: bool,
-    /// Grows with each telling of the demand, whose messages share it.
+    /// Numbers the reports of the demand. All messages of one report have the same number.
     #[prost(uint32, tag = "14")]
     pub(super) demand_round: u32,
-    /// Whether more of that demand follows in the next message.
+    /// Whether the demand continues in the next message.
     #[prost(bool, tag = "13")]
     pub(super) has_more: bool,
-    /// The demand at the sender, told to the VM that gives orders.
+    /// The demand at the sender, sent to the leader.
     #[prost(message, repeated, tag = "4")]
     pub(super) demands: Vec<WeightsDemand>,
-    /// What runners hold, if the sender leads.
+    /// What runners hold, sent by the leader.
     #[prost(message, repeated, tag = "5")]
     pub(super) holdings: Vec<ServerHoldings>,
-    /// Crashes with requests aboard that the sender saw lately.
+    /// Recent crashes of runners with requests of the sender in flight.
     #[prost(message, repeated, tag = "6")]
-    pub(super) crashes: Vec<Crashes>,
-    /// The fence under which the sender gives orders; 0 if it gives none.
+    pub(super) crashes: Vec<CrashReport>,
+    /// The fence that the sender leads with; 0 if it is not the leader.
     #[prost(uint64, tag = "8")]
     pub(super) fence: u64,
-    /// Prompts sent to runners since the last message about prompts.
+    /// Prompts that the sender has sent to runners since its last message about prompts.
     #[prost(message, repeated, tag = "9")]
     pub(super) prompts: Vec<SentPrompt>,
     /// The sender's availability zone.
     #[prost(string, tag = "10")]
     pub(super) availability_zone: String,
-    /// What the sender read of the log, if it follows it closely.
+    /// The log positions of the sender, if it follows the log closely.
     #[prost(message, optional, tag = "11")]
-    pub(super) followed_log: Option<Followed>,
-    /// After how long the receiver is told again.
+    pub(super) followed_log: Option<FollowedLog>,
+    /// The time until the next message to the same recipient, in milliseconds.
     #[prost(uint32, tag = "15")]
     pub(super) next_in_ms: u32,
-    /// VMs that the sender knows.
+    /// Some or all of the VMs that the sender knows.
     #[prost(message, repeated, tag = "16")]
     pub(super) vms: Vec<ZoneVms>,
-    /// Whether the receiver is to tell all VMs that it knows.
+    /// Whether the recipient is asked to reply with all VMs that it knows.
     #[prost(bool, tag = "17")]
     pub(super) requests_view: bool,
-    /// Changes of the directory, passed on to the own zone.
+    /// Directory changes, forwarded to the zone of the sender.
     #[prost(message, optional, tag = "18")]
     pub(super) directory: Option<DirectoryNews>,
-    /// What organisations were granted at the sender, or in its zone for VMs of other zones.
+    /// What organisations were granted: at the sender, or, in messages to remote zones, in the
+    /// whole zone of the sender.
     #[prost(message, optional, tag = "19")]
     pub(super) tally: Option<TallyPart>,
-    /// The load of the sender's zone, for VMs of other zones of a large fleet, in place of its own.
+    /// The load of the zone of the sender. In a large fleet, messages to remote zones carry it in
+    /// place of `loads`.
     #[prost(message, optional, tag = "20")]
-    pub(super) zone_loads: Option<ToldZoneLoads>,
-    /// Whether this message tells the sender's load by itself.
+    pub(super) zone_loads: Option<ZoneLoadSums>,
+    /// Whether this partial message carries the load of the sender.
     #[prost(bool, tag = "21")]
     pub(super) has_loads: bool,
-    /// Whether loads and demands are left out of this message.
+    /// Whether this message carries only some fields and does not replace the state of its sender.
     #[prost(bool, tag = "7")]
     pub(super) is_partial: bool,
 }
 
-/// What a VM that follows the log closely has read of it.
+/// How far a VM that follows the log closely has read it.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(super) struct Followed {
-    /// The offset after the last change of the directory that others must know of at once.
+pub(super) struct FollowedLog {
+    /// The offset after the last directory change that other VMs need at once.
     #[prost(uint64, tag = "1")]
-    pub(super) directory_news: u64,
-    /// The age of the last reading of the directory.
+    pub(super) directory_changed_to: u64,
+    /// The time since the directory was last read, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub(super) directory_age_ms: u32,
-    /// The offset after the last change of the configuration.
+    /// The offset after the last configuration change.
     #[prost(uint64, tag = "3")]
-    pub(super) configuration_news: u64,
-    /// The age of the last reading of the configuration.
+    pub(super) configuration_changed_to: u64,
+    /// The time since the configuration was last read, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub(super) configuration_age_ms: u32,
-    /// The offset up to which the directory was read.
+    /// The offset up to which the directory has been read.
     #[prost(uint64, tag = "5")]
     pub(super) directory_end: u64,
 }
 
-/// VMs of one availability zone.
+/// Known VMs of one availability zone.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct ZoneVms {
     #[prost(string, tag = "1")]
@@ -109,24 +115,24 @@
     pub(super) vms: Vec<VmSeen>,
 }
 
-/// A VM and when it was heard, by whoever told of it.
+/// A VM and its last sign of life, as one VM reports it to another.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct VmSeen {
-    /// The octets of its IP address, four or sixteen.
+    /// The octets of the IP address of the VM, four or sixteen.
     #[prost(bytes = "vec", tag = "1")]
     pub(super) ip: Vec<u8>,
     #[prost(uint32, tag = "2")]
     pub(super) port: u32,
-    /// Names its process.
+    /// Identifies the process of the VM.
     #[prost(fixed64, tag = "3")]
     pub(super) boot: u64,
-    /// How long ago it was heard.
+    /// The time since any VM received a message from it, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub(super) age_ms: u32,
 }
 
 impl VmSeen {
-    /// Where its messages arrive; `None` if that is no address.
+    /// The address at which the VM receives messages; `None` if it is malformed.
     pub(super) fn address(&self) -> Option<SocketAddr> {
         let port = u16::try_from(self.port).ok()?;
         let ip = match <[u8; 4]>::try_from(self.ip.as_slice()) {
@@ -137,7 +143,7 @@
     }
 }
 
-/// VMs as messages tell of them, by zone.
+/// Encodes sightings, grouped by zone.
 pub(super) fn zones_of(sightings: &[Sighting], now: Instant) -> Vec<ZoneVms> {
     let mut zones: BTreeMap<&Name, Vec<VmSeen>> = BTreeMap::new();
     for it in sightings {
@@ -164,7 +170,7 @@
         .collect()
 }
 
-/// The VMs that a message tells of.
+/// Decodes the VMs in a message. Those with a malformed address are left out.
 pub(super) fn sightings_of(zones: &[ZoneVms], now: Instant) -> impl Iterator<Item = Sighting> {
     zones.iter().flat_map(move |zone| {
         let availability_zone = Name::from(zone.availability_zone.as_str());
@@ -180,84 +186,87 @@
     })
 }
 
-/// Requests in flight of all VMs of a zone, for some servers.
+/// The requests that all VMs of a zone have in flight at some servers.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct ToldZoneLoads {
-    /// The servers by their short names.
+pub(super) struct ZoneLoadSums {
+    /// The short names of the servers.
     #[prost(fixed32, repeated, tag = "1")]
     servers: Vec<u32>,
-    /// The requests on each; none is told as well.
+    /// The requests at each server, in the same order; 0 is sent as well.
     #[prost(uint32, repeated, tag = "2")]
     in_flight: Vec<u32>,
 }
 
-impl ToldZoneLoads {
-    /// Tells of some servers.
+impl ZoneLoadSums {
+    /// Encodes pairs of server and requests in flight.
     pub(super) fn of(sums: impl Iterator<Item = (u32, u32)>) -> Self {
         let (servers, in_flight) = sums.unzip();
         Self { servers, in_flight }
     }
 
-    /// The servers with the requests on each.
+    /// The pairs of server and requests in flight.
     pub(super) fn sums(&self) -> impl Iterator<Item = (u32, u32)> {
         let in_flight = self.in_flight.iter().copied();
         self.servers.iter().copied().zip(in_flight)
     }
 }
 
-/// What organisations were granted at one VM, or in a zone.
+/// A part of a tally: what some organisations were granted at one VM, or in a zone.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct TallyPart {
-    /// How many VMs it sums up.
+    /// The number of VMs that the tally covers.
     #[prost(uint32, tag = "1")]
     pub(super) vms: u32,
     #[prost(message, repeated, tag = "2")]
-    pub(super) usages: Vec<ToldUsage>,
-    /// How many of them remember the whole window.
+    pub(super) usages: Vec<OrganisationUsage>,
+    /// How many of these VMs have grants recorded for the whole quota window. One that started
+    /// within the window counts as a fraction.
     #[prost(float, tag = "3")]
     pub(super) remembering_vms: f32,
 }
 
 /// What one organisation was granted.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct ToldUsage {
-    /// Names the organisation.
+pub(super) struct OrganisationUsage {
+    /// The short name of the organisation.
     #[prost(fixed32, tag = "1")]
     pub(super) organisation: u32,
+    /// The amount asked for within the last second, granted or not.
     #[prost(uint64, tag = "2")]
     pub(super) asked: u64,
-    /// By span, the shortest first.
+    /// The amount granted within each span of the quota window, the shortest first.
     #[prost(uint64, repeated, tag = "3")]
     pub(super) granted: Vec<u64>,
 }
 
 impl TallyPart {
-    /// The tellings of a tally, each short enough for a message; one of a VM without any grant
-    /// tells that it is there.
+    /// Splits a tally into parts that fit one message each. A tally without grants still gives one
+    /// part, so that its VM is counted.
     pub(super) fn parts(tally: &Tally) -> Vec<Self> {
-        let usages: Vec<ToldUsage> = tally.usages.iter().map(ToldUsage::of).collect();
-        let part = |usages: &[ToldUsage]| Self {
+        let usages: Vec<OrganisationUsage> =
+            tally.usages.iter().map(OrganisationUsage::of).collect();
+        let part = |usages: &[OrganisationUsage]| Self {
             vms: tally.vms,
             remembering_vms: tally.remembering_vms as f32,
             usages: usages.to_vec(),
         };
         match usages.is_empty() {
             true => vec![part(&[])],
-            false => usages.chunks(MAX_USAGES).map(part).collect(),
+            false => usages.chunks(MAX_USAGES_PER_MESSAGE).map(part).collect(),
         }
     }
 
-    /// The tally that it tells.
+    /// Decodes the part.
     pub(super) fn tally(&self) -> Tally {
         Tally {
             vms: self.vms,
             remembering_vms: f64::from(self.remembering_vms),
-            usages: self.usages.iter().map(ToldUsage::usage).collect(),
+            usages: self.usages.iter().map(OrganisationUsage::usage).collect(),
         }
     }
 }
 
-impl ToldUsage {
+impl OrganisationUsage {
     fn of((organisation, usage): &(u32, Usage)) -> Self {
         Self {
             organisation: *organisation,
@@ -268,8 +277,8 @@
 
     fn usage(&self) -> (u32, Usage) {
         let mut granted = [0.0; SPANS];
-        for (span, told) in granted.iter_mut().zip(&self.granted) {
-            *span = *told as f64;
+        for (span, amount) in granted.iter_mut().zip(&self.granted) {
+            *span = *amount as f64;
         }
         let usage = Usage {
             asked: self.asked as f64,
@@ -279,45 +288,49 @@
     }
 }
 
+/// Requests in flight at one server for one model.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct ServerRequests {
     #[prost(string, tag = "1")]
     pub(super) server: String,
     #[prost(uint32, tag = "2")]
     pub(super) in_flight: u32,
-    /// The model that they ask for; empty for plain calls.
+    /// The model of the requests; empty for requests to plain services.
     #[prost(string, tag = "3")]
     pub(super) model: String,
 }
 
+/// The demand for a model or an adapter.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WeightsDemand {
     #[prost(string, tag = "1")]
     pub(super) model: String,
     #[prost(string, optional, tag = "2")]
     pub(super) adapter: Option<String>,
-    /// What it takes of runners' time, in microseconds a second.
+    /// The runner time that it takes, in microseconds per second.
     #[prost(uint32, tag = "3")]
     pub(super) busy_us_per_s: u32,
-    /// Requests in a thousand seconds.
+    /// Requests per thousand seconds.
     #[prost(uint32, tag = "5")]
     pub(super) requests_per_1000_s: u32,
-    /// Requests that wait for a runner that holds the weights.
+    /// Requests that wait for a runner with the weights loaded.
     #[prost(uint32, tag = "4")]
     pub(super) waiting: u32,
 }
 
+/// What one runner holds.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct ServerHoldings {
     #[prost(string, tag = "1")]
     pub(super) server: String,
-    /// When the server's process started, in Unix milliseconds.
+    /// When the process of the server started, in Unix milliseconds.
     #[prost(uint64, tag = "3")]
     pub(super) started_ms: u64,
     #[prost(message, repeated, tag = "2")]
     pub(super) models: Vec<ModelHolding>,
 }
 
+/// A model that a runner holds, with the loaded adapters.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct ModelHolding {
     #[prost(string, tag = "1")]
@@ -328,8 +341,10 @@
     pub(super) adapters: Vec<String>,
 }
 
+/// A report of runner crashes with the same request in flight.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(super) struct Crashes {
+pub(super) struct CrashReport {
+    /// Identifies the request.
     #[prost(fixed64, tag = "1")]
     pub(super) fingerprint: u64,
     #[prost(uint32, tag = "2")]
@@ -341,7 +356,7 @@
 pub(super) struct SentPrompt {
     #[prost(string, tag = "1")]
     pub(super) server: String,
-    /// How long the runner takes to read it, in microseconds.
+    /// The time that the runner takes to prefill the prompt, in microseconds.
     #[prost(uint32, tag = "2")]
     pub(super) prefill_us: u32,
 }
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -1,11 +1,12 @@
-//! What this VM tells the others: its load, its zone's, its demand, what runners hold.
+//! Builds the contents of gossip messages: the load of this VM and of its zone, its demand, and
+//! what runners have loaded.
 
 use crate::callers::{Ledger, Tally};
 use crate::gateway::directory_updates::told_holding;
 use crate::gateway::fleet::{Holding, Incarnation};
 use crate::gateway::gossip::{Gossip, INTERVAL};
 use crate::gateway::gossip_message::{
-    Digest, Followed, ServerHoldings, ServerRequests, TallyPart, ToldZoneLoads, WeightsDemand,
+    Digest, FollowedLog, ServerHoldings, ServerRequests, TallyPart, WeightsDemand, ZoneLoadSums,
 };
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::log_follower::Reading;
@@ -15,61 +16,62 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// For how long a change of what a runner holds is told in each message: three of them, since one
+/// How long every round repeats a change in what a runner holds: for three rounds, since a message
 /// may be lost.
-const REPEAT_FOR: Duration = Duration::from_millis(600);
-/// After how long it is told again while the directory lists something else, for those that missed
-/// it or came since.
-const REFRESH_AFTER: Duration = Duration::from_millis(2_500);
-/// Bytes of a message that fit one datagram on any path.
+const REPEAT_PERIOD: Duration = Duration::from_millis(600);
+/// The interval at which the holdings of a runner are sent again while the directory lists other
+/// holdings, for VMs that missed the change or have started since.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(2_500);
+/// The size of a message, in bytes, that fits one datagram on any network path.
 const MAX_MESSAGE_BYTES: usize = 1_300;
 
-/// What peers were told that a runner holds.
+/// The holdings of one runner as advertised to peers.
 #[derive(Debug)]
 pub(super) struct AdvertisedHoldings {
     holdings: Vec<Holding>,
     changed_at: Instant,
-    at: Option<Instant>,
+    sent_at: Option<Instant>,
 }
 
 impl AdvertisedHoldings {
-    /// What is to be told of a runner that was not told of yet.
+    /// Starts with holdings that have not been sent yet.
     pub(super) fn new(holdings: &[Holding], now: Instant) -> Self {
         Self {
             holdings: holdings.to_vec(),
             changed_at: now,
-            at: None,
+            sent_at: None,
         }
     }
 
-    /// Takes over what the runner holds now.
-    pub(super) fn note(&mut self, holdings: &[Holding], now: Instant) {
+    /// Replaces the holdings, and records a change if they differ.
+    pub(super) fn update(&mut self, holdings: &[Holding], now: Instant) {
         if self.holdings != holdings {
             self.holdings = holdings.to_vec();
             self.changed_at = now;
         }
     }
 
-    /// Whether it is to be told now, which is then taken for done.
+    /// Whether the holdings are to be sent now. If so, they are recorded as sent.
     ///
-    /// What the directory lists (`is_listed`) every VM learns from there, so that only its change
-    /// is told.
+    /// Holdings that the directory lists (`is_listed`) reach every VM through the directory, so
+    /// that only a change of them is sent.
     pub(super) fn take_due(&mut self, is_listed: bool, now: Instant) -> bool {
-        let is_new = now.duration_since(self.changed_at) < REPEAT_FOR;
+        let is_new = now.duration_since(self.changed_at) < REPEAT_PERIOD;
         let is_old = self
-            .at
-            .is_none_or(|at| now.duration_since(at) >= REFRESH_AFTER);
+            .sent_at
+            .is_none_or(|at| now.duration_since(at) >= REFRESH_INTERVAL);
         let is_due = is_new || (is_old && !is_listed);
         if is_due {
-            self.at = Some(now);
+            self.sent_at = Some(now);
         }
         is_due
     }
 }
 
 impl Gossip {
-    /// The load of the own zone on servers; where these are many, on a part of them by the turn.
-    pub(super) fn zone_loads(&self, targets: &Targets, turn: usize) -> ToldZoneLoads {
+    /// The load of the local zone by server. When there are many servers, each round carries
+    /// another part of them.
+    pub(super) fn zone_loads(&self, targets: &Targets, round: usize) -> ZoneLoadSums {
         let of_others = self
             .state
             .peers
@@ -79,18 +81,19 @@
             let others = of_others.get(&server.id).copied().unwrap_or(0);
             (short_id(&server.id), server.in_flight() + others)
         });
-        let told_every = INTERVAL * targets.remote_rounds() as u32;
+        let message_interval = INTERVAL * targets.remote_rounds() as u32;
         let part = self.zone_telling.borrow_mut().part(
             sums.collect(),
-            turn,
-            told_every,
+            round,
+            message_interval,
             targets.near.len(),
             Instant::now(),
         );
-        ToldZoneLoads::of(part.into_iter())
+        ZoneLoadSums::of(part.into_iter())
     }
 
-    /// The tellings of a tally; none where there are no organisations.
+    /// Splits a tally of the ledger into parts that fit one message each. Without organisations
+    /// there are none.
     pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> Tally) -> Vec<TallyPart> {
         let configuration = self.state.configuration();
         if configuration.is_none_or(|it| it.organisations.is_none()) {
@@ -99,11 +102,11 @@
         TallyPart::parts(&tally(&mut self.state.ledger.borrow_mut()))
     }
 
-    /// What runners hold, if this VM gives orders, in as many messages as datagrams need: what
-    /// changed of late, and what was not told for long.
+    /// The messages about what runners hold, sent by the leader: recent changes, and holdings that
+    /// are due to be sent again. Each message fits one datagram.
     pub(super) fn holdings_messages(&self) -> Vec<Digest> {
         let mut messages: Vec<Digest> = Vec::new();
-        for holdings in self.due_holdings() {
+        for holdings in self.take_due_holdings() {
             let last = messages.last_mut();
             let fits = |last: &&mut Digest| {
                 last.encoded_len() + holdings.encoded_len() <= MAX_MESSAGE_BYTES
@@ -121,6 +124,7 @@
         messages
     }
 
+    /// The part of the regular message that all recipients share, with the load of this VM.
     pub(super) fn digest(&self) -> Digest {
         let state = &self.state;
         Digest {
@@ -136,7 +140,7 @@
         }
     }
 
-    /// This VM's requests in flight.
+    /// The requests that this VM has in flight, by server and model.
     pub(super) fn loads(&self) -> Vec<ServerRequests> {
         let servers = self.state.fleet.servers();
         let loads = servers.iter().flat_map(|server| {
@@ -150,6 +154,7 @@
         loads.collect()
     }
 
+    /// The demand at this VM, for the leader.
     pub(super) fn demands(&self) -> Vec<WeightsDemand> {
         let demand = self.state.own_demand(Instant::now());
         let demand = demand.into_iter();
@@ -164,8 +169,8 @@
             .collect()
     }
 
-    /// What this VM read of the log, if it follows it closely.
-    fn followed_log(&self) -> Option<Followed> {
+    /// The log positions of this VM, if it follows the log closely.
+    fn followed_log(&self) -> Option<FollowedLog> {
         let now = Instant::now();
         if !self.state.follows_closely(now) {
             return None;
@@ -175,38 +180,41 @@
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
         };
         let readings = self.state.following.readings()?;
-        Some(Followed {
-            directory_news: readings.directory.news,
+        Some(FollowedLog {
+            directory_changed_to: readings.directory.news,
             directory_end: readings.directory_end,
             directory_age_ms: age_ms(readings.directory),
-            configuration_news: readings.configuration.news,
+            configuration_changed_to: readings.configuration.news,
             configuration_age_ms: age_ms(readings.configuration),
         })
     }
 
-    fn due_holdings(&self) -> Vec<ServerHoldings> {
+    /// Returns the holdings that are due to be sent, and records them as sent. Runners that are no
+    /// longer in the view of the leader are forgotten.
+    fn take_due_holdings(&self) -> Vec<ServerHoldings> {
         let now = Instant::now();
         let view = self.state.leader_view.borrow();
-        let mut told = self.told.borrow_mut();
-        if told.len() > view.len() {
+        let mut by_run = self.told.borrow_mut();
+        if by_run.len() > view.len() {
             let runs: HashSet<&Incarnation> = view.iter().map(|(run, _)| run).collect();
-            told.retain(|run, _| runs.contains(run));
+            by_run.retain(|run, _| runs.contains(run));
         }
         let due = view.iter().filter(|(run, holdings)| {
-            let known = told
+            let advertised = by_run
                 .entry(run.clone())
                 .or_insert_with(|| AdvertisedHoldings::new(holdings, now));
-            known.note(holdings, now);
+            advertised.update(holdings, now);
             let server = self.state.fleet.run(run);
             let is_listed = server.is_some_and(|server| server.lists(holdings));
-            known.take_due(is_listed, now)
+            advertised.take_due(is_listed, now)
         });
-        due.map(|(run, holdings)| holdings_of(run, holdings))
+        due.map(|(run, holdings)| holdings_message(run, holdings))
             .collect()
     }
 }
 
-fn holdings_of(run: &Incarnation, holdings: &[Holding]) -> ServerHoldings {
+/// Encodes the holdings of one run of a server.
+fn holdings_message(run: &Incarnation, holdings: &[Holding]) -> ServerHoldings {
     ServerHoldings {
         server: run.id.to_string(),
         started_ms: run.started_ms,
--- a/src/gateway/peer.rs
+++ b/src/gateway/peer.rs
@@ -1,53 +1,58 @@
-//! What one other VM told last, read from its messages.
+//! The last state received from one peer, decoded from its messages.
 
 use crate::gateway::Weights;
-use crate::gateway::gossip_message::{Digest, Followed};
+use crate::gateway::gossip_message::{Digest, FollowedLog};
 use crate::gateway::log_follower::{Reading, Readings};
-use crate::gateway::peers::{DemandRate, MICROS_PER_MILLI, SILENCE_LIMIT};
+use crate::gateway::peers::{DemandRate, MICROS_PER_MILLI, MIN_STATE_TTL};
 use crate::inventory::Name;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Messages of a VM that speaks seldom which may be missed before what it told counts no more.
-const MISSED_MESSAGES: u32 = 4;
+/// The announced intervals that may pass without a message before the state of a peer expires.
+const MAX_MISSED_MESSAGES: u32 = 4;
 
-/// What one VM told.
+/// The last state received from one peer.
 #[derive(Debug)]
-pub(super) struct Peer {
-    pub(super) heard_at: Instant,
-    /// For how long what it told counts without another message.
-    pub(super) counts_for: Duration,
+pub(super) struct PeerState {
+    /// When the last digest was received.
+    pub(super) received_at: Instant,
+    /// How long the state is valid after `received_at`.
+    pub(super) state_ttl: Duration,
     pub(super) availability_zone: Name,
+    /// The log positions of the peer, if it follows the log closely.
     pub(super) readings: Option<Readings>,
+    /// The fence that the peer leads with; 0 if it is not the leader.
     pub(super) fence: u64,
+    /// Requests in flight by server, as pairs of model and count.
     pub(super) loads: HashMap<Name, Vec<(Name, u32)>>,
+    /// The last demand that was received completely.
     pub(super) demands: Vec<(Weights, DemandRate)>,
-    /// The demand as far as the messages that tell it have come.
-    pub(super) coming_demands: Vec<(Weights, DemandRate)>,
-    /// The telling that they belong to.
+    /// The parts received so far of a demand that spans several messages.
+    pub(super) partial_demands: Vec<(Weights, DemandRate)>,
+    /// The round that `partial_demands` belong to.
     pub(super) demand_round: u32,
 }
 
-impl Peer {
-    /// What it told of itself in a message.
+impl PeerState {
+    /// Decodes the state of a peer from its digest, without its demand.
     pub(super) fn read(digest: &Digest, now: Instant) -> Self {
         Self {
-            heard_at: now,
-            counts_for: counts_for(digest),
+            received_at: now,
+            state_ttl: state_ttl(digest),
             availability_zone: digest.availability_zone.as_str().into(),
             readings: digest
                 .followed_log
-                .map(|followed_log| read_followed(followed_log, now)),
+                .map(|followed_log| read_followed_log(followed_log, now)),
             fence: digest.fence,
             loads: read_loads(digest),
             demands: Vec::new(),
-            coming_demands: Vec::new(),
+            partial_demands: Vec::new(),
             demand_round: 0,
         }
     }
 }
 
-/// The requests in flight that a message tells, by server and model.
+/// Decodes the requests in flight of a message, by server, as pairs of model and count.
 pub(super) fn read_loads(digest: &Digest) -> HashMap<Name, Vec<(Name, u32)>> {
     let mut loads: HashMap<Name, Vec<(Name, u32)>> = HashMap::new();
     for load in &digest.loads {
@@ -57,16 +62,17 @@
     loads
 }
 
-/// For how long a message counts: as often as its sender says that it speaks. One that gives
-/// orders is replaced soon after it falls silent.
-fn counts_for(digest: &Digest) -> Duration {
+/// How long a digest is valid, by the sending interval that it announces. The digest of a leader
+/// always expires after [`MIN_STATE_TTL`], so that a leader that fell silent is replaced soon.
+fn state_ttl(digest: &Digest) -> Duration {
     let next_in = Duration::from_millis(u64::from(digest.next_in_ms));
     match digest.fence {
-        0 => SILENCE_LIMIT.max(next_in * MISSED_MESSAGES),
-        _ => SILENCE_LIMIT,
+        0 => MIN_STATE_TTL.max(next_in * MAX_MISSED_MESSAGES),
+        _ => MIN_STATE_TTL,
     }
 }
 
+/// Decodes the demand of a message.
 pub(super) fn read_demands(digest: &Digest) -> impl Iterator<Item = (Weights, DemandRate)> {
     digest.demands.iter().map(|demand| {
         let weights = Weights {
@@ -82,7 +88,8 @@
     })
 }
 
-fn read_followed(followed_log: Followed, now: Instant) -> Readings {
+/// Decodes the log positions of a message; its ages become points in time before `now`.
+fn read_followed_log(followed_log: FollowedLog, now: Instant) -> Readings {
     let reading = |news, age_ms| Reading {
         news,
         at: now
@@ -91,9 +98,12 @@
     };
     Readings {
         directory_end: followed_log.directory_end,
-        directory: reading(followed_log.directory_news, followed_log.directory_age_ms),
+        directory: reading(
+            followed_log.directory_changed_to,
+            followed_log.directory_age_ms,
+        ),
         configuration: reading(
-            followed_log.configuration_news,
+            followed_log.configuration_changed_to,
             followed_log.configuration_age_ms,
         ),
     }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,12 +1,12 @@
-//! What other VMs told: their load, their demand, and who gives orders.
+//! The other VMs of the fleet, and what they last reported: load, demand and leadership.
 
 use crate::gateway::Weights;
 use crate::gateway::directory_updates::DirectoryNews;
 use crate::gateway::fleet::Holding;
-use crate::gateway::gossip_message::{Crashes, Digest, SentPrompt, sightings_of};
+use crate::gateway::gossip_message::{CrashReport, Digest, SentPrompt, sightings_of};
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::log_follower::Readings;
-use crate::gateway::peer::{Peer, read_demands, read_loads};
+use crate::gateway::peer::{PeerState, read_demands, read_loads};
 use crate::gateway::view::{Sighting, View};
 use crate::gateway::zone_loads::ZoneLoads;
 use crate::inventory::Name;
@@ -18,149 +18,162 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info, warn};
 
-/// After so long without a message what a peer told counts no more, where it speaks often.
-pub(super) const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
-/// VMs that are members of the log's group, at least: twice as many as it deals partitions to, so that
-/// with a zone or two gone its list of owners still is not taken for a whole fleet.
+/// How long the state of a peer is kept without another message, at least. A peer that sends rarely
+/// announces a longer interval, and its state is kept longer. Crash reports are repeated for as
+/// long.
+pub(super) const MIN_STATE_TTL: Duration = Duration::from_millis(1_500);
+/// How many VMs stay members of the log's group: twice as many as the log assigns partitions to, so
+/// that after the loss of a zone or two its list of partition owners is still full. A shorter list
+/// is taken for the whole fleet.
 pub(super) const GROUP_MEMBERS: usize = 24;
 /// Microseconds in a millisecond.
 pub(super) const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// The demand for some weights.
+/// The demand for a model or an adapter.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct DemandRate {
-    /// What it takes of runners' time, in milliseconds a second.
+    /// The runner time that it takes, in milliseconds per second.
     pub(crate) busy_ms_per_s: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub(crate) requests_per_s: f64,
-    /// Requests that wait for the weights.
+    /// Requests that wait for a runner with the weights loaded.
     pub(crate) waiting: u32,
 }
 
-/// Who is told of a change out of turn.
+/// The VMs that are sent a change before the next regular round; a later variant covers more.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum UpdateScope {
-    /// Nobody.
+    /// No VM.
     #[default]
     None,
-    /// The VM that gives orders.
+    /// The leader.
     Leader,
-    /// The own zone.
+    /// All VMs of the local zone.
     Zone,
-    /// All, of what runners hold.
+    /// All VMs, of a change in what runners have loaded. In a large fleet this waits for the
+    /// regular rounds.
     Holdings,
-    /// All.
+    /// All VMs.
     All,
 }
 
-/// All other VMs: which there are, and what those told that are heard.
+/// The other VMs that are known, and the last state received from each.
 #[derive(Debug)]
 pub(crate) struct Peers {
+    /// The address at which this VM receives messages.
     own: SocketAddr,
     view: RefCell<View>,
-    heard: RefCell<HashMap<SocketAddr, Peer>>,
-    /// The load of other zones of a large fleet.
+    /// The last state received from each peer, by the address that it sends from.
+    peer_states: RefCell<HashMap<SocketAddr, PeerState>>,
+    /// The load of remote zones, reported as sums in a large fleet.
     zone_loads: RefCell<ZoneLoads>,
-    /// Members that the log lists; not all.
+    /// Members of the group that the log lists. In a large fleet these are only some of the VMs.
     members: RefCell<Vec<SocketAddr>>,
-    /// Whether the list was read since the start.
+    /// Whether the list of members was read since the start.
     has_read_members: Cell<bool>,
-    /// Whether these were all at the last look.
+    /// Whether the list was complete when last read.
     has_all_members: Cell<bool>,
+    /// Whether the last known leader gave up leadership.
     leadership_released: Cell<bool>,
-    /// Whether VMs in other zones are spoken to seldom.
+    /// Whether it takes several rounds to send to every VM in a remote zone.
     is_far_late: Cell<bool>,
-    urgency: Cell<UpdateScope>,
-    is_urgent: Signal,
-    crashes: RefCell<Vec<(Crashes, Instant)>>,
-    /// Changes of the directory that the own zone is yet to be told of.
-    news: RefCell<Vec<DirectoryNews>>,
-    /// Prompts that peers are yet to be told of.
+    /// The scope of the triggered message that has yet to be sent.
+    update_scope: Cell<UpdateScope>,
+    update_signal: Signal,
+    /// Recent crash reports, and when each was made.
+    crashes: RefCell<Vec<(CrashReport, Instant)>>,
+    /// Directory changes that have yet to be sent to the local zone.
+    pending_updates: RefCell<Vec<DirectoryNews>>,
+    /// Prompts that have yet to be reported to peers, and when each was sent to its runner.
     prompts: RefCell<Vec<(SentPrompt, Instant)>>,
-    has_prompts: Signal,
+    prompt_signal: Signal,
 }
 
 impl Peers {
-    /// No VMs but this one, whose messages arrive at `own`.
+    /// Creates a set without any peers, for the VM that receives messages at `own`.
     pub(crate) fn new(own: SocketAddr, now: Instant) -> Self {
         Self {
             own,
             view: RefCell::new(View::new(own, now)),
-            heard: RefCell::default(),
+            peer_states: RefCell::default(),
             zone_loads: RefCell::default(),
             members: RefCell::default(),
             has_read_members: Cell::default(),
             has_all_members: Cell::default(),
             leadership_released: Cell::default(),
             is_far_late: Cell::default(),
-            urgency: Cell::default(),
-            is_urgent: Signal::default(),
+            update_scope: Cell::default(),
+            update_signal: Signal::default(),
             crashes: RefCell::default(),
-            news: RefCell::default(),
+            pending_updates: RefCell::default(),
             prompts: RefCell::default(),
-            has_prompts: Signal::default(),
+            prompt_signal: Signal::default(),
         }
     }
 
-    /// Takes over the other members of the group that the log lists, and whether these are all.
+    /// Replaces the members of the group that the log lists, without this VM. `is_all` tells
+    /// whether the list is complete.
     pub(crate) fn set_members(&self, members: Vec<SocketAddr>, is_all: bool) {
         *self.members.borrow_mut() = members;
         self.has_read_members.set(true);
         self.has_all_members.set(is_all);
     }
 
-    /// Whether the other VMs were looked for: the log listed members, or there was time to be found.
-    /// Before, this VM has no part of the slack of retries and makes few refusals good.
+    /// Whether this VM has had the chance to find the others: the list of members was read, or the
+    /// discovery time has passed. Until then it has no share of the retry slack, so that it can
+    /// retry few refused requests.
     pub(crate) fn is_discovery_done(&self, now: Instant) -> bool {
-        self.has_read_members.get() || self.view.borrow().is_settled(now)
+        self.has_read_members.get() || self.view.borrow().is_discovery_over(now)
     }
 
-    /// How many VMs there are, this one included.
+    /// The number of VMs that are known, including this one.
     pub(crate) fn vms(&self) -> usize {
         self.view.borrow().vms()
     }
 
-    /// How many VMs there were at most, this one included; `None` while this one has just started
-    /// and may know too few: the log lists not all of a large group.
+    /// The largest number of VMs seen at once, including this one. `None` while this VM has just
+    /// started and may know too few, since the log lists only some members of a large group.
     pub(crate) fn peak_vms(&self, now: Instant) -> Option<usize> {
         let view = self.view.borrow();
         let listed = self.members.borrow().len() + 1;
-        let is_known = self.has_all_members.get() || view.is_settled(now);
+        let is_known = self.has_all_members.get() || view.is_discovery_over(now);
         is_known.then(|| view.peak_vms().max(listed))
     }
 
-    /// How many VMs share what all may grant together: as many as there ever were, or as are known
-    /// so far. Those that are not heard may still grant their part.
+    /// The number of VMs that a fleet-wide limit is divided by: the largest number seen at once, or
+    /// the number known so far. VMs that are out of reach may still grant their share.
     pub(crate) fn fleet_size(&self, now: Instant) -> usize {
         let known = || self.view.borrow().peak_vms();
         self.peak_vms(now).unwrap_or_else(known)
     }
 
-    /// Whether this VM is to be a member of the log's group: one of the first [`GROUP_MEMBERS`] in an
-    /// order that all VMs agree on, or one that may know too few others to tell.
+    /// Whether this VM belongs in the log's group: it is among the first [`GROUP_MEMBERS`] in an
+    /// order that all VMs agree on, or has just started and may know too few VMs to determine its
+    /// rank.
     pub(crate) fn should_join_group(&self, now: Instant) -> bool {
         let view = self.view.borrow();
-        !view.is_settled(now) || view.rank(self.own) < GROUP_MEMBERS
+        !view.is_discovery_over(now) || view.rank(self.own) < GROUP_MEMBERS
     }
 
-    /// How many VMs of `zone` come before this one by address.
+    /// The number of VMs in `zone` with a lower address than this one.
     pub(crate) fn rank_in(&self, zone: &Name) -> usize {
         let view = self.view.borrow();
         let of_zone = view.all().filter(|vm| vm.availability_zone == *zone);
         of_zone.filter(|vm| vm.address < self.own).count()
     }
 
-    /// `count` VMs to tell the own zone of, others at each call.
+    /// Draws up to `count` known VMs to list in a message to the local zone.
     pub(super) fn sample(&self, count: usize) -> Vec<Sighting> {
         self.view.borrow_mut().sample(count)
     }
 
-    /// All VMs that are known.
+    /// All known VMs.
     pub(super) fn sightings(&self) -> Vec<Sighting> {
         self.view.borrow().all().cloned().collect()
     }
 
-    /// The VM that is to be asked for all that it knows, if any is.
+    /// Picks a VM to request the full view from, if such a request is due, and records the request
+    /// as sent.
     pub(super) fn take_view_request(&self, now: Instant) -> Option<SocketAddr> {
         let mut view = self.view.borrow_mut();
         if !view.take_view_request(now) {
@@ -169,32 +182,32 @@
         let draw = rand::random();
         let members = self.members.borrow();
         let member = members.get((draw * members.len() as f64) as usize);
-        view.any_one(draw).or(member.copied())
+        view.random_known_vm(draw).or(member.copied())
     }
 
-    /// A VM that was lost and may be back.
+    /// Picks a random VM among those that were lost: it may be reachable again.
     pub(super) fn random_lost_vm(&self) -> Option<SocketAddr> {
         self.view.borrow().random_lost_vm(rand::random())
     }
 
-    /// Requests of all other VMs on a server.
+    /// The requests that all other VMs have in flight at a server.
     pub(crate) fn in_flight(&self, server: &Name) -> u32 {
-        let heard = self.heard.borrow();
+        let peer_states = self.peer_states.borrow();
         let zone_loads = self.zone_loads.borrow();
-        // What VMs of a zone tell of themselves is in its sum.
-        let single = heard
+        // The sum of a zone includes what its VMs report individually.
+        let single = peer_states
             .values()
-            .filter(|peer| !zone_loads.has(&peer.availability_zone));
+            .filter(|peer| !zone_loads.has_zone(&peer.availability_zone));
         let loads = single.filter_map(|peer| peer.loads.get(server));
         let of_single: u32 = loads.flatten().map(|(_, count)| count).sum();
         of_single + zone_loads.in_flight(short_id(server))
     }
 
-    /// Requests of the other VMs of a zone, by server.
+    /// The requests that the other VMs of a zone have in flight, by server.
     pub(super) fn zone_in_flight(&self, zone: &Name) -> HashMap<Name, u32> {
-        let heard = self.heard.borrow();
+        let peer_states = self.peer_states.borrow();
         let mut sums: HashMap<Name, u32> = HashMap::new();
-        let peers = heard
+        let peers = peer_states
             .values()
             .filter(|peer| peer.availability_zone == *zone);
         for (server, loads) in peers.flat_map(|peer| &peer.loads) {
@@ -204,65 +217,68 @@
         sums
     }
 
-    /// Requests of all other VMs on a server for one model.
+    /// The requests that all other VMs have in flight at a server for one model.
     pub(crate) fn in_flight_for(&self, server: &Name, model: &Name) -> u32 {
-        let heard = self.heard.borrow();
-        let loads = heard.values().filter_map(|peer| peer.loads.get(server));
+        let peer_states = self.peer_states.borrow();
+        let loads = peer_states
+            .values()
+            .filter_map(|peer| peer.loads.get(server));
         let of_model = loads.flatten().filter(|(name, _)| name == model);
         of_model.map(|(_, count)| count).sum()
     }
 
-    /// The highest fence under which another VM gives orders.
+    /// The highest fence that another VM leads with.
     pub(crate) fn highest_fence(&self) -> Option<u64> {
-        let heard = self.heard.borrow();
-        let fences = heard.values().map(|peer| peer.fence);
+        let peer_states = self.peer_states.borrow();
+        let fences = peer_states.values().map(|peer| peer.fence);
         fences.filter(|fence| *fence > 0).max()
     }
 
-    /// Whether the VM that gave orders last was heard to give them up.
+    /// Whether the last known leader announced that it gave up leadership.
     pub(crate) fn leadership_released(&self) -> bool {
         self.leadership_released.get()
     }
 
-    /// The demand at all other VMs.
+    /// The demand reported by all other VMs, one entry per VM and weights.
     pub(crate) fn demands(&self) -> Vec<(Weights, DemandRate)> {
-        let heard = self.heard.borrow();
-        heard
+        let peer_states = self.peer_states.borrow();
+        peer_states
             .values()
             .flat_map(|peer| peer.demands.iter().cloned())
             .collect()
     }
 
-    /// Tells all peers of a change at once.
+    /// Triggers a message to all peers before the next regular round.
     pub(crate) fn trigger_update_to_all(&self) {
         self.trigger_update(UpdateScope::All);
     }
 
-    /// Tells peers of a change at once.
-    pub(crate) fn trigger_update(&self, urgency: UpdateScope) {
-        self.urgency.set(self.urgency.get().max(urgency));
-        self.is_urgent.notify();
+    /// Triggers a message to the peers in `scope` before the next regular round. The widest scope
+    /// requested since the last message wins.
+    pub(crate) fn trigger_update(&self, scope: UpdateScope) {
+        self.update_scope.set(self.update_scope.get().max(scope));
+        self.update_signal.notify();
     }
 
-    /// Takes who is to be told of a change out of turn.
+    /// Returns and resets the scope of the triggered message.
     pub(super) fn take_update_scope(&self) -> UpdateScope {
-        self.urgency.take()
+        self.update_scope.take()
     }
 
-    /// Passes changes of the directory on to the own zone.
-    pub(super) fn queue_directory_updates(&self, news: Vec<DirectoryNews>) {
-        self.news.borrow_mut().extend(news);
+    /// Queues directory changes to be sent to the local zone, and triggers the message.
+    pub(super) fn queue_directory_updates(&self, updates: Vec<DirectoryNews>) {
+        self.pending_updates.borrow_mut().extend(updates);
         self.trigger_update(UpdateScope::Zone);
     }
 
-    /// Takes the changes of the directory that the own zone is yet to be told of.
+    /// Returns and clears the queued directory changes.
     pub(super) fn take_directory_updates(&self) -> Vec<DirectoryNews> {
-        self.news.take()
+        self.pending_updates.take()
     }
 
-    /// Tells peers of a crash with a request aboard.
+    /// Reports to all peers that a runner crashed with a request in flight.
     pub(crate) fn report_crash(&self, fingerprint: u64, crashes: u32, now: Instant) {
-        let crash = Crashes {
+        let crash = CrashReport {
             fingerprint,
             crashes,
         };
@@ -270,33 +286,36 @@
         self.trigger_update_to_all();
     }
 
-    /// Tells peers of a prompt that is being sent to a runner.
-    pub(crate) fn report_prompt(&self, server: &Name, read_ms: f64, now: Instant) {
+    /// Reports to peers that a prompt is being sent to a runner, which takes `prefill_ms` to
+    /// prefill it.
+    pub(crate) fn report_prompt(&self, server: &Name, prefill_ms: f64, now: Instant) {
         let prompt = SentPrompt {
             server: server.to_string(),
-            prefill_us: (read_ms * MICROS_PER_MILLI) as u32,
+            prefill_us: (prefill_ms * MICROS_PER_MILLI) as u32,
         };
         self.prompts.borrow_mut().push((prompt, now));
-        self.has_prompts.notify();
+        self.prompt_signal.notify();
     }
 
-    /// Takes prompts that peers are yet to be told of, `limit` at most; those that have been read
-    /// by now would only make their runners look busy.
+    /// Returns and removes up to `limit` prompts to report to peers. Prompts whose prefill has
+    /// ended by now are dropped: reporting them would make their runners appear busier than they
+    /// are.
     pub(super) fn take_unsent_prompts(&self, limit: usize, now: Instant) -> Vec<SentPrompt> {
         let mut prompts = self.prompts.borrow_mut();
         prompts.retain(|(prompt, at)| {
-            let read_time = Duration::from_micros(u64::from(prompt.prefill_us));
-            now.saturating_duration_since(*at) < read_time
+            let prefill_time = Duration::from_micros(u64::from(prompt.prefill_us));
+            now.saturating_duration_since(*at) < prefill_time
         });
         let count = prompts.len().min(limit);
         let taken = prompts.drain(..count);
         taken.map(|(prompt, _)| prompt).collect()
     }
 
-    /// Counts requests that a peer has just sent, until it tells its whole load again.
+    /// Adds requests that a peer has just sent to its load, until it reports its full load again.
+    /// Reports of unknown peers are ignored.
     pub(super) fn take_prompts(&self, from: SocketAddr, prompts: &[SentPrompt]) {
-        let mut heard = self.heard.borrow_mut();
-        let Some(peer) = heard.get_mut(&from) else {
+        let mut peer_states = self.peer_states.borrow_mut();
+        let Some(peer) = peer_states.get_mut(&from) else {
             return;
         };
         for prompt in prompts {
@@ -305,23 +324,23 @@
         }
     }
 
-    /// Waits for a prompt to tell of.
+    /// Waits for a prompt to report.
     pub(super) fn wait_for_prompts(&self) -> impl Future<Output = ()> + use<> {
-        self.has_prompts.wait()
+        self.prompt_signal.wait()
     }
 
-    /// Waits for a change that peers are told of out of turn.
+    /// Waits for [`Peers::trigger_update`].
     pub(super) fn wait_for_update(&self) -> impl Future<Output = ()> + use<> {
-        self.is_urgent.wait()
+        self.update_signal.wait()
     }
 
-    /// The crashes that peers are told of.
-    pub(super) fn crashes(&self) -> Vec<Crashes> {
+    /// The recent crash reports, which every digest repeats.
+    pub(super) fn crashes(&self) -> Vec<CrashReport> {
         let crashes = self.crashes.borrow();
         crashes.iter().map(|(crash, _)| *crash).collect()
     }
 
-    /// Takes over which VMs a peer knows.
+    /// Merges the VMs listed in a message into the view.
     pub(super) fn merge_sightings(&self, digest: &Digest, now: Instant) {
         for sighting in sightings_of(&digest.vms, now) {
             self.record_sighting(sighting, now);
@@ -331,26 +350,27 @@
     fn record_sighting(&self, sighting: Sighting, now: Instant) {
         let address = sighting.address;
         if address != self.own && self.view.borrow_mut().record_sighting(sighting, now) {
-            info!(peer = %address, "peer known");
+            info!(peer = %address, "peer discovered");
         }
     }
 
-    /// Takes over what a peer told of itself.
+    /// Applies a digest: the state of its sender replaces the earlier one. A sender that is leaving
+    /// is removed.
     pub(super) fn take(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
-        let mut heard = self.heard.borrow_mut();
-        let held = heard.get(&sender).is_some_and(|peer| peer.fence > 0);
+        let mut peer_states = self.peer_states.borrow_mut();
+        let was_leader = peer_states.get(&sender).is_some_and(|peer| peer.fence > 0);
         if digest.fence > 0 {
             self.leadership_released.set(false);
-        } else if held {
+        } else if was_leader {
             self.leadership_released.set(true);
         }
         if digest.is_leaving {
-            heard.remove(&sender);
+            peer_states.remove(&sender);
             let mut view = self.view.borrow_mut();
             view.record_departure(sender, digest.boot, now);
             return;
         }
-        let mut peer = Peer::read(digest, now);
+        let mut peer = PeerState::read(digest, now);
         let sighting = Sighting {
             address: sender,
             availability_zone: peer.availability_zone.clone(),
@@ -358,62 +378,66 @@
             seen_at: now,
         };
         self.record_sighting(sighting, now);
-        if let Some(told) = &digest.zone_loads {
+        if let Some(loads) = &digest.zone_loads {
             let zone = &peer.availability_zone;
-            self.zone_loads.borrow_mut().take(zone, told.sums(), now);
+            self.zone_loads.borrow_mut().apply(zone, loads.sums(), now);
         }
-        if let Some(before) = heard.remove(&sender) {
-            // Where it tells its zone's load, its own comes by itself, if at all.
+        if let Some(before) = peer_states.remove(&sender) {
+            // A sender that reports the load of its zone sends its own load separately, if at all.
             if digest.zone_loads.is_some() {
                 peer.loads = before.loads;
             }
             peer.demands = before.demands;
-            peer.coming_demands = before.coming_demands;
+            peer.partial_demands = before.partial_demands;
             peer.demand_round = before.demand_round;
         }
-        heard.insert(sender, peer);
+        peer_states.insert(sender, peer);
     }
 
-    /// Takes over a peer's load where it comes by itself.
+    /// Applies the load of a peer from a message that carries only the load.
     pub(super) fn apply_loads(&self, sender: SocketAddr, digest: &Digest) {
-        if let Some(peer) = self.heard.borrow_mut().get_mut(&sender) {
+        if let Some(peer) = self.peer_states.borrow_mut().get_mut(&sender) {
             peer.loads = read_loads(digest);
         }
     }
 
-    /// Takes over a part of the demand that a peer tells; all of it counts once it is there.
+    /// Applies one part of the demand of a peer. The demand takes effect once its last part is
+    /// received.
     pub(super) fn apply_demand(&self, sender: SocketAddr, digest: &Digest) {
-        let mut heard = self.heard.borrow_mut();
-        let Some(peer) = heard.get_mut(&sender) else {
+        let mut peer_states = self.peer_states.borrow_mut();
+        let Some(peer) = peer_states.get_mut(&sender) else {
             return;
         };
         if peer.demand_round != digest.demand_round {
             peer.demand_round = digest.demand_round;
-            peer.coming_demands.clear();
+            peer.partial_demands.clear();
         }
-        peer.coming_demands.extend(read_demands(digest));
+        peer.partial_demands.extend(read_demands(digest));
         if !digest.has_more {
-            peer.demands = std::mem::take(&mut peer.coming_demands);
+            peer.demands = std::mem::take(&mut peer.partial_demands);
         }
     }
 
-    /// What other VMs in a zone read of the log that follow it closely.
+    /// The log positions reported by the other VMs in a zone that follow the log closely, by
+    /// address.
     pub(crate) fn readings(&self, zone: &Name) -> Vec<(SocketAddr, Readings)> {
-        let heard = self.heard.borrow();
-        let near = heard
+        let peer_states = self.peer_states.borrow();
+        let local = peer_states
             .iter()
             .filter(|(_, peer)| peer.availability_zone == *zone);
-        near.filter_map(|(address, peer)| Some((*address, peer.readings?)))
+        local
+            .filter_map(|(address, peer)| Some((*address, peer.readings?)))
             .collect()
     }
 
-    /// Whether the load of VMs in other zones is known late, since there are many.
+    /// Whether the reported load of VMs in remote zones is several rounds stale, since there are
+    /// many of them.
     pub(crate) fn is_far_late(&self) -> bool {
         self.is_far_late.get()
     }
 
-    /// Where messages go: to all VMs that are known, those in other zones than `zone` apart, and
-    /// to members of the group that are not.
+    /// The recipients of messages: all known VMs, split into those in `zone` and those in remote
+    /// zones, and the members of the group whose zone is not known yet.
     pub(super) fn targets(&self, zone: &Name) -> Targets {
         let view = self.view.borrow();
         let members = self.members.borrow();
@@ -434,36 +458,37 @@
         targets
     }
 
-    /// The VM that gives orders, if it was heard.
+    /// The address of the leader, if its digest was received. Among several, the one with the
+    /// highest fence.
     pub(super) fn leader(&self) -> Option<SocketAddr> {
-        let heard = self.heard.borrow();
-        let holders = heard.iter().filter(|(_, peer)| peer.fence > 0);
-        let leader = holders.max_by_key(|(_, peer)| peer.fence)?;
+        let peer_states = self.peer_states.borrow();
+        let leaders = peer_states.iter().filter(|(_, peer)| peer.fence > 0);
+        let leader = leaders.max_by_key(|(_, peer)| peer.fence)?;
         Some(*leader.0)
     }
 
-    /// Forgets VMs that fell silent, what those told that are not heard any more, and crashes
-    /// that all have been told of.
+    /// Removes VMs that gave no sign of life for too long, expired peer states and zone loads, and
+    /// crash reports that have been repeated for long enough.
     pub(super) fn forget_silent(&self, now: Instant) {
         for gone in self.view.borrow_mut().forget_silent(now) {
             let silent = now.saturating_duration_since(gone.seen_at);
             let silent_ms = silent.as_millis() as u64;
             warn!(peer = %gone.address, zone = %gone.availability_zone, silent_ms, "peer lost");
         }
-        self.heard.borrow_mut().retain(|address, peer| {
-            let is_heard = now.saturating_duration_since(peer.heard_at) < peer.counts_for;
-            if !is_heard {
-                debug!(peer = %address, "peer not heard");
+        self.peer_states.borrow_mut().retain(|address, peer| {
+            let is_current = now.saturating_duration_since(peer.received_at) < peer.state_ttl;
+            if !is_current {
+                debug!(peer = %address, "peer state expired");
             }
-            is_heard
+            is_current
         });
-        self.zone_loads.borrow_mut().forget(now);
+        self.zone_loads.borrow_mut().expire(now);
         let mut crashes = self.crashes.borrow_mut();
-        crashes.retain(|(_, at)| now.duration_since(*at) < SILENCE_LIMIT);
+        crashes.retain(|(_, at)| now.duration_since(*at) < MIN_STATE_TTL);
     }
 }
 
-/// A holding from its parts.
+/// Builds a [`Holding`] from its parts.
 pub(crate) fn holding(model: &str, version: u64, adapters: &[String]) -> Holding {
     Holding {
         model: model.into(),
--- a/src/gateway/tests/gossip_sender.rs
+++ b/src/gateway/tests/gossip_sender.rs
@@ -1,10 +1,10 @@
-//! What the VM that gives orders tells of runners.
+//! When the leader sends what runners hold.
 
 use crate::gateway::fleet::{Entry, Fleet, Holding, ServerState};
 use crate::gateway::gossip_sender::AdvertisedHoldings;
 use std::time::{Duration, Instant};
 
-const TURN: Duration = Duration::from_millis(200);
+const ROUND: Duration = Duration::from_millis(200);
 
 fn holding(model: &str, adapters: &[&str]) -> Holding {
     Holding {
@@ -14,33 +14,39 @@
     }
 }
 
-/// How often it is told in ten seconds that nothing changes in.
-fn tellings(mut told: AdvertisedHoldings, is_listed: bool, now: Instant) -> usize {
-    let turns = (0..50).map(|turn| now + TURN * turn);
-    turns.filter(|now| told.take_due(is_listed, *now)).count()
+/// The number of times that the holdings are sent in ten seconds without a change.
+fn sends_without_change(mut holdings: AdvertisedHoldings, is_listed: bool, now: Instant) -> usize {
+    let rounds = (0..50).map(|round| now + ROUND * round);
+    rounds
+        .filter(|now| holdings.take_due(is_listed, *now))
+        .count()
 }
 
 #[test]
-fn what_the_directory_lists_is_told_at_its_change_only() {
+fn holdings_in_the_directory_are_sent_only_when_they_change() {
     let now = Instant::now();
-    let told = || AdvertisedHoldings::new(&[holding("m", &[])], now);
-    assert_eq!(tellings(told(), true, now), 3, "a message may be lost");
-    // Whoever missed it or came since does not learn it from the directory.
-    assert!(tellings(told(), false, now) >= 6);
+    let holdings = || AdvertisedHoldings::new(&[holding("m", &[])], now);
+    assert_eq!(
+        sends_without_change(holdings(), true, now),
+        3,
+        "a message may be lost"
+    );
+    // VMs that missed the messages or started later can't learn the holdings from the directory.
+    assert!(sends_without_change(holdings(), false, now) >= 6);
 }
 
 #[test]
-fn a_change_is_told_though_the_directory_lists_it_already() {
+fn a_change_is_sent_even_if_the_directory_already_lists_it() {
     let now = Instant::now();
-    let mut told = AdvertisedHoldings::new(&[holding("m", &[])], now);
+    let mut holdings = AdvertisedHoldings::new(&[holding("m", &[])], now);
     let later = now + Duration::from_secs(5);
-    assert!(!told.take_due(true, later));
-    told.note(&[holding("m", &["a"])], later);
-    assert!(told.take_due(true, later));
+    assert!(!holdings.take_due(true, later));
+    holdings.update(&[holding("m", &["a"])], later);
+    assert!(holdings.take_due(true, later));
 }
 
 #[test]
-fn a_list_in_another_order_is_the_same() {
+fn the_order_of_models_and_adapters_does_not_matter() {
     let fleet = Fleet::default();
     fleet.take(Entry {
         id: "i".into(),
@@ -55,7 +61,7 @@
         in_memory: Vec::new(),
         on_disk: Vec::new(),
     });
-    let server = fleet.server("i").expect("it was entered");
+    let server = fleet.server("i").expect("the server is in the fleet");
     assert!(server.lists(&[holding("n", &[]), holding("m", &["b", "a"])]));
     assert!(!server.lists(&[holding("m", &["a", "b"])]));
     assert!(!server.lists(&[holding("n", &[]), holding("m", &["a", "c"])]));
--- a/src/gateway/tests/loads.rs
+++ b/src/gateway/tests/loads.rs
@@ -1,7 +1,7 @@
-//! Every VM knows the load that all others together put on a server, at any size of the fleet.
+//! Every VM knows the total load of all other VMs on a server, for fleets of different sizes.
 
 use crate::gateway::gossip::INTERVAL;
-use crate::gateway::gossip_message::{Digest, SentPrompt, ServerRequests, ToldZoneLoads, zones_of};
+use crate::gateway::gossip_message::{Digest, SentPrompt, ServerRequests, ZoneLoadSums, zones_of};
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::peers::Peers;
 use crate::gateway::tests::{address, index};
@@ -15,24 +15,24 @@
 
 const ZONES: usize = 3;
 const SERVERS: usize = 14;
-/// Runners of a fleet of hundreds of VMs, a few for each.
+/// The number of runners of a fleet of hundreds of VMs.
 const MANY_SERVERS: usize = 300;
 
 struct Vm {
     address: SocketAddr,
     zone: Name,
     peers: Peers,
-    telling: ZoneLoadSampler,
-    /// Counts its turns from a place of its own.
-    turn: usize,
-    /// Its requests on each server.
+    sampler: ZoneLoadSampler,
+    /// The round of this VM; every VM starts with another one.
+    round: usize,
+    /// The requests that this VM has in flight at each server.
     own: Vec<u32>,
 }
 
 struct Fleet {
     vms: Vec<Vm>,
     now: Instant,
-    /// Bytes of sums in the messages so far.
+    /// The total bytes of zone sums in the messages sent so far.
     sum_bytes: usize,
 }
 
@@ -65,8 +65,8 @@
                 address,
                 zone: format!("z{}", index % ZONES).into(),
                 peers: Peers::new(address, now),
-                telling: ZoneLoadSampler::default(),
-                turn: index * 7_919,
+                sampler: ZoneLoadSampler::default(),
+                round: index * 7_919,
                 own: own.collect(),
             }
         });
@@ -75,7 +75,7 @@
             now,
             sum_bytes: 0,
         };
-        // All know all.
+        // Every VM knows every other VM.
         let sightings = fleet.vms.iter().map(|vm| Sighting {
             address: vm.address,
             availability_zone: vm.zone.clone(),
@@ -99,30 +99,30 @@
         }
     }
 
-    /// One turn of each VM.
-    fn turn(&mut self) {
+    /// Runs one gossip round of each VM.
+    fn round(&mut self) {
         for index in 0..self.vms.len() {
             let vm = &mut self.vms[index];
             let targets = vm.peers.targets(&vm.zone);
-            let near = Digest {
+            let to_local = Digest {
                 boot: 1,
                 availability_zone: vm.zone.to_string(),
                 next_in_ms: 5_000,
                 loads: loads_of(&vm.own),
                 ..Digest::default()
             };
-            let mut far = near.clone();
+            let mut to_remote = to_local.clone();
             if targets.remote_rounds() > 1 {
                 let sums = vm.zone_loads(&targets, self.now);
                 self.sum_bytes += sums.encoded_len();
-                far.loads.clear();
-                far.zone_loads = Some(sums);
+                to_remote.loads.clear();
+                to_remote.zone_loads = Some(sums);
             }
-            vm.turn += 1;
+            vm.round += 1;
             let vm = &self.vms[index];
-            self.deliver(&near, vm.address, &targets.local_part(vm.turn));
-            for (_, part) in targets.remote_part(vm.turn) {
-                self.deliver(&far, vm.address, &part);
+            self.deliver(&to_local, vm.address, &targets.local_part(vm.round));
+            for (_, part) in targets.remote_part(vm.round) {
+                self.deliver(&to_remote, vm.address, &part);
             }
         }
         self.now += INTERVAL;
@@ -131,16 +131,16 @@
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.turn();
+            self.round();
         }
     }
 
-    /// How far the load that a VM knows is from the true one at most, in requests.
-    fn furthest(&self) -> u32 {
+    /// The largest difference between the load that a VM knows and the true one, in requests.
+    fn max_error(&self) -> u32 {
         self.errors().max().unwrap_or(0)
     }
 
-    /// How far the load that each VM knows of each server is from the true one, in requests.
+    /// The difference between known and true load, in requests, for each VM and server.
     fn errors(&self) -> impl Iterator<Item = u32> {
         let servers = self.vms[0].own.len();
         (0..servers).flat_map(|index| {
@@ -155,7 +155,7 @@
 }
 
 impl Vm {
-    fn zone_loads(&mut self, targets: &Targets, now: Instant) -> ToldZoneLoads {
+    fn zone_loads(&mut self, targets: &Targets, now: Instant) -> ZoneLoadSums {
         let of_others = self.peers.zone_in_flight(&self.zone);
         let own = self.own.iter().enumerate();
         let sums = own.map(|(index, own)| {
@@ -163,26 +163,26 @@
             let others = of_others.get(&server).copied().unwrap_or(0);
             (short_id(&server), own + others)
         });
-        let told_every = INTERVAL * targets.remote_rounds() as u32;
+        let message_interval = INTERVAL * targets.remote_rounds() as u32;
         let vms = targets.near.len();
         let part = self
-            .telling
-            .part(sums.collect(), self.turn, told_every, vms, now);
-        ToldZoneLoads::of(part.into_iter())
+            .sampler
+            .part(sums.collect(), self.round, message_interval, vms, now);
+        ZoneLoadSums::of(part.into_iter())
     }
 }
 
 #[test]
-fn all_load_on_a_server_is_known_within_two_seconds() {
+fn every_vm_knows_the_total_load_within_two_seconds() {
     for count in [9, 67, 195, 410] {
         let mut fleet = Fleet::start(count);
         fleet.run(Duration::from_secs(2));
-        assert_eq!(fleet.furthest(), 0, "{count} VMs");
+        assert_eq!(fleet.max_error(), 0, "{count} VMs");
         for vm in &mut fleet.vms {
             vm.own.rotate_left(1);
         }
         fleet.run(Duration::from_secs(2));
-        assert_eq!(fleet.furthest(), 0, "{count} VMs, after a change");
+        assert_eq!(fleet.max_error(), 0, "{count} VMs, after a change");
     }
 }
 
@@ -203,7 +203,8 @@
         assert!(known * 100 >= all * 95, "{count} VMs: {known} of {all}");
         bytes.push(fleet.sum_bytes / count / time.as_secs() as usize);
     }
-    // Sums of two other zones on each server, each once a second, with messages' overhead.
+    // One sum per server from each of two remote zones, once per second, five bytes each. The bound
+    // below leaves half as much again for the overhead of messages.
     let needed = 2 * MANY_SERVERS * 5;
     for bytes in bytes {
         assert!(
@@ -214,10 +215,10 @@
 }
 
 #[test]
-fn a_server_without_load_is_told_of_only_after_it_had_some() {
+fn a_sum_of_zero_is_sent_only_for_a_while_after_requests() {
     let now = Instant::now();
-    let mut telling = ZoneLoadSampler::default();
-    let mut part = |in_flight, now| telling.part(vec![(1, in_flight)], 0, INTERVAL, 9, now);
+    let mut sampler = ZoneLoadSampler::default();
+    let mut part = |in_flight, now| sampler.part(vec![(1, in_flight)], 0, INTERVAL, 9, now);
     assert_eq!(part(0, now), []);
     assert_eq!(part(2, now), [(1, 2)]);
     assert_eq!(part(0, now + INTERVAL), [(1, 0)]);
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn a_zone_that_is_not_heard_any_more_does_not_count() {
+fn the_load_of_a_zone_expires_without_messages_from_it() {
     let mut fleet = Fleet::start(67);
     fleet.run(Duration::from_secs(2));
     let vm = &fleet.vms[0];
@@ -235,7 +236,7 @@
 }
 
 #[test]
-fn a_request_counts_as_load_from_its_prompt_on() {
+fn a_reported_prompt_counts_as_load_until_the_next_digest() {
     let now = Instant::now();
     let peers = Peers::new(address(1), now);
     let prompts = [SentPrompt {
@@ -243,7 +244,7 @@
         prefill_us: 10_000,
     }];
     peers.take_prompts(address(2), &prompts);
-    assert_eq!(peers.in_flight(&server(0)), 0, "its sender is not known");
+    assert_eq!(peers.in_flight(&server(0)), 0, "the sender is not known");
     let digest = Digest {
         availability_zone: "z1".to_owned(),
         loads: loads_of(&[3]),
@@ -257,12 +258,12 @@
     assert_eq!(
         peers.in_flight(&server(0)),
         3,
-        "a load that is told holds all"
+        "the digest replaces the load"
     );
 }
 
 #[test]
-fn what_a_vm_tells_of_itself_is_not_added_to_the_sum_of_its_zone() {
+fn the_load_of_a_vm_is_not_added_to_the_sum_of_its_zone() {
     let now = Instant::now();
     let peers = Peers::new(address(1), now);
     let single = Digest {
@@ -275,11 +276,11 @@
     let sums = [(short_id(&server(0)), 5)];
     let of_zone = Digest {
         availability_zone: "z1".to_owned(),
-        zone_loads: Some(ToldZoneLoads::of(sums.into_iter())),
+        zone_loads: Some(ZoneLoadSums::of(sums.into_iter())),
         ..Digest::default()
     };
     peers.take(address(3), &of_zone, now);
     assert_eq!(peers.in_flight(&server(0)), 5);
-    // What it told by model still counts for plans.
+    // The load by model, which plans use, still comes from the report of the single VM.
     assert_eq!(peers.in_flight_for(&server(0), &"m".into()), 3);
 }
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -1,9 +1,11 @@
-//! Which VMs there are, as this VM knows.
+//! The VMs of the fleet that this VM knows.
 //!
-//! The log lists only a few members of the group: no more than a topic has partitions. So VMs tell
-//! each other which VMs they know and how long ago each was heard by anyone. Such ages only grow
-//! while a VM is silent, whoever tells of it, so that one that is gone leaves all views within
-//! [`LIVENESS_TIMEOUT`] and is told of no more; and it need not be heard by all to stay in them.
+//! The log lists only a few members of the group: no more than a topic has partitions. The VMs
+//! therefore send each other the VMs that they know, and how long ago any VM last received a
+//! message from each. While a VM is silent its age only grows, through however many VMs it is
+//! forwarded. A VM that is gone thus drops out of all views within [`LIVENESS_TIMEOUT`] and is no
+//! longer listed, and a live VM stays in all views even if some VMs receive nothing from it
+//! directly.
 
 use crate::inventory::Name;
 use rand::rngs::SmallRng;
@@ -14,108 +16,114 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// After so long without a sign of life a VM counts as gone. A VM speaks to its zone five times a
-/// second and what it tells spreads within one; shorter, lost messages would end living VMs.
+/// How long a VM is kept without a sign of life. A VM sends to its zone five times per second and a
+/// sign of life spreads within a second; with a shorter time, lost messages would remove live VMs.
 pub(crate) const LIVENESS_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// For how long a VM that was lost is spoken to now and then, so that the halves of a fleet find
-/// each other after a partition without the log.
-const PROBE_FOR: Duration = Duration::from_secs(60);
-/// VMs that were lost which are kept in mind, at most: more than a fleet replaces in a minute.
+/// How long a VM that was lost is still probed, so that the parts of a fleet find each other after
+/// a network partition without the log. Departed processes are remembered for the same time.
+const LOST_RETENTION: Duration = Duration::from_secs(60);
+/// The number of lost VMs that are remembered, at most: more than a fleet replaces in a minute.
 const MAX_LOST: usize = 1_000;
-/// A gap between two looks from which this VM itself stood still: what it missed says nothing
-/// about others.
-const STANDSTILL: Duration = Duration::from_millis(1_000);
-/// How long a VM that has just started may know too few others: they are found within three
-/// seconds of a start.
-const SETTLING_TIME: Duration = Duration::from_millis(3_000);
-/// For how long the whole view is asked for at each turn after it has grown.
+/// The gap between two checks from which this VM itself counts as stalled. The messages that it
+/// missed meanwhile say nothing about other VMs.
+const STALL_THRESHOLD: Duration = Duration::from_millis(1_000);
+/// How long after its start a VM may know too few others: all are found within three seconds.
+const DISCOVERY_TIME: Duration = Duration::from_millis(3_000);
+/// How long after the view has grown another VM is asked for its full view in every round.
 const GROWTH_TIME: Duration = Duration::from_millis(1_000);
-/// The time between two such questions otherwise: they mend what lost messages left out.
-const ASK_INTERVAL: Duration = Duration::from_millis(5_000);
+/// The interval between requests for a full view otherwise: they make up for lost messages.
+const VIEW_REQUEST_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// A VM and when it last gave a sign of life.
+/// A VM and its last sign of life.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Sighting {
-    /// Where its messages arrive.
+    /// The address at which the VM receives messages.
     pub(crate) address: SocketAddr,
-    /// The availability zone that it stands in.
+    /// The availability zone of the VM.
     pub(crate) availability_zone: Name,
-    /// Names the process: another one at the address is another VM.
+    /// Identifies the process: another process at the same address is another VM.
     pub(crate) boot: u64,
-    /// When it was last heard, by whoever told of it.
+    /// When any VM last received a message from it.
     pub(crate) seen_at: Instant,
 }
 
-/// The VMs that this one knows; itself apart.
+/// The other VMs that this VM knows.
 #[derive(Debug)]
 pub(crate) struct View {
     started_at: Instant,
     known: BTreeMap<SocketAddr, Sighting>,
-    /// VMs that fell silent, with the moment.
+    /// VMs that fell silent, and when they were lost.
     lost: BTreeMap<SocketAddr, Instant>,
-    /// Processes that told of their end, with the moment.
-    left: HashMap<(SocketAddr, u64), Instant>,
-    /// Draws the VMs to tell of, others at each VM, so that all together tell of each at any time.
+    /// Processes that announced their shutdown, and when.
+    departed: HashMap<(SocketAddr, u64), Instant>,
+    /// Draws the VMs to list in messages. Every VM has another seed, so that together they list all
+    /// VMs at any time.
     random: SmallRng,
-    looked_at: Instant,
+    /// When [`View::forget_silent`] last ran.
+    checked_at: Instant,
+    /// When a VM was last added.
     grew_at: Instant,
-    asked_at: Option<Instant>,
-    most_seen: usize,
+    /// When a full view was last requested.
+    requested_at: Option<Instant>,
+    /// The largest size of `known` so far.
+    peak_known: usize,
 }
 
 impl View {
-    /// A view without any VM, of the VM at `own`.
+    /// Creates an empty view for the VM at `own`.
     pub(crate) fn new(own: SocketAddr, now: Instant) -> Self {
         Self {
-            random: SmallRng::seed_from_u64(place(own)),
+            random: SmallRng::seed_from_u64(address_hash(own)),
             started_at: now,
             known: BTreeMap::new(),
             lost: BTreeMap::new(),
-            left: HashMap::new(),
-            looked_at: now,
+            departed: HashMap::new(),
+            checked_at: now,
             grew_at: now,
-            asked_at: None,
-            most_seen: 0,
+            requested_at: None,
+            peak_known: 0,
         }
     }
 
-    /// Takes a sign of life, heard or told; tells whether the VM is new.
+    /// Records a sign of life, received directly or listed by another VM. Returns whether the VM is
+    /// new. Signs of life that are too old, and those of departed processes, are ignored.
     pub(crate) fn record_sighting(&mut self, sighting: Sighting, now: Instant) -> bool {
         let address = sighting.address;
         let is_old = now.saturating_duration_since(sighting.seen_at) >= LIVENESS_TIMEOUT;
-        if is_old || self.left.contains_key(&(address, sighting.boot)) {
+        if is_old || self.departed.contains_key(&(address, sighting.boot)) {
             return false;
         }
         match self.known.get_mut(&address) {
             Some(known) if known.seen_at >= sighting.seen_at => false,
             Some(known) => {
-                let is_other = known.boot != sighting.boot;
+                let is_restarted = known.boot != sighting.boot;
                 *known = sighting;
-                is_other
+                is_restarted
             }
             None => {
                 self.lost.remove(&address);
                 self.known.insert(address, sighting);
-                self.most_seen = self.most_seen.max(self.known.len());
+                self.peak_known = self.peak_known.max(self.known.len());
                 self.grew_at = now;
                 true
             }
         }
     }
 
-    /// Notes that a VM's process told of its end.
+    /// Records that the process `boot` at `address` announced its shutdown, and removes it.
     pub(crate) fn record_departure(&mut self, address: SocketAddr, boot: u64, now: Instant) {
-        self.left.insert((address, boot), now);
+        self.departed.insert((address, boot), now);
         if self.known.get(&address).is_some_and(|it| it.boot == boot) {
             self.known.remove(&address);
         }
     }
 
-    /// Forgets VMs that gave no sign of life; returns them.
+    /// Removes and returns the VMs without a sign of life for [`LIVENESS_TIMEOUT`]. After a stall
+    /// of this VM, its length is added to their last signs of life.
     pub(crate) fn forget_silent(&mut self, now: Instant) -> Vec<Sighting> {
-        let gap = now.saturating_duration_since(self.looked_at);
-        self.looked_at = now;
-        if gap >= STANDSTILL {
+        let gap = now.saturating_duration_since(self.checked_at);
+        self.checked_at = now;
+        if gap >= STALL_THRESHOLD {
             for known in self.known.values_mut() {
                 known.seen_at = (known.seen_at + gap).min(now);
             }
@@ -132,93 +140,101 @@
             }
         }
         self.lost
-            .retain(|_, at| now.saturating_duration_since(*at) < PROBE_FOR);
-        self.left
-            .retain(|_, at| now.saturating_duration_since(*at) < PROBE_FOR);
+            .retain(|_, at| now.saturating_duration_since(*at) < LOST_RETENTION);
+        self.departed
+            .retain(|_, at| now.saturating_duration_since(*at) < LOST_RETENTION);
         gone
     }
 
-    /// `count` VMs to tell the own zone of, others at each call. VMs of the zone are among them: each
-    /// hears most of the others itself, but perhaps not all.
+    /// Draws up to `count` VMs to list in a message to the local zone, from a random start in
+    /// address order. VMs of that zone are included, since a recipient may receive nothing from
+    /// some of them directly.
     pub(crate) fn sample(&mut self, count: usize) -> Vec<Sighting> {
         let draw = self.random.random();
-        let from = self.any_one(draw).map_or(Bound::Unbounded, Bound::Included);
+        let from = self
+            .random_known_vm(draw)
+            .map_or(Bound::Unbounded, Bound::Included);
         let after = self.known.range((from, Bound::Unbounded));
         let before = self.known.range((Bound::Unbounded, from_excluded(from)));
         let all = after.chain(before).map(|(_, it)| it);
         all.take(count).cloned().collect()
     }
 
-    /// All VMs, by address.
+    /// All other VMs, in address order.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Sighting> {
         self.known.values()
     }
 
-    /// Finds a VM.
+    /// Finds a VM by address.
     pub(crate) fn get(&self, address: &SocketAddr) -> Option<&Sighting> {
         self.known.get(address)
     }
 
-    /// How many VMs there are, this one included.
+    /// The number of known VMs, including this one.
     pub(crate) fn vms(&self) -> usize {
         self.known.len() + 1
     }
 
-    /// How many VMs come before the one at `own`, in an order that is the same at each VM and that no
-    /// zone comes first in.
+    /// The number of known VMs that precede the one at `own` in an order by hash. It is the same at
+    /// every VM and mixes the zones.
     pub(crate) fn rank(&self, own: SocketAddr) -> usize {
-        let own = place(own);
-        let places = self.known.keys().map(|address| place(*address));
-        places.filter(|other| *other < own).count()
+        let own = address_hash(own);
+        let hashes = self.known.keys().map(|address| address_hash(*address));
+        hashes.filter(|other| *other < own).count()
     }
 
-    /// How many VMs there were at most at any time, this one included.
+    /// The largest number of VMs known at once so far, including this one.
     pub(crate) fn peak_vms(&self) -> usize {
-        self.most_seen + 1
+        self.peak_known + 1
     }
 
-    /// Whether this VM has had the time to find the others.
-    pub(crate) fn is_settled(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.started_at) >= SETTLING_TIME
+    /// Whether enough time has passed since the start to find all other VMs.
+    pub(crate) fn is_discovery_over(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.started_at) >= DISCOVERY_TIME
     }
 
-    /// Whether another VM is to be asked for its whole view now, which is then taken for done.
+    /// Whether another VM is to be asked for its full view now. If so, the request is recorded as
+    /// sent.
     pub(crate) fn take_view_request(&mut self, now: Instant) -> bool {
         let since = |at| now.saturating_duration_since(at);
         let is_growing = since(self.grew_at) < GROWTH_TIME;
-        let is_due = is_growing || self.asked_at.is_none_or(|at| since(at) >= ASK_INTERVAL);
+        let is_due = is_growing
+            || self
+                .requested_at
+                .is_none_or(|at| since(at) >= VIEW_REQUEST_INTERVAL);
         if is_due {
-            self.asked_at = Some(now);
+            self.requested_at = Some(now);
         }
         is_due
     }
 
-    /// One of the VMs that were lost, by `draw` from 0 to 1.
+    /// Picks one of the lost VMs by `draw`, a random number from 0 to 1.
     pub(crate) fn random_lost_vm(&self, draw: f64) -> Option<SocketAddr> {
         pick(self.lost.keys(), self.lost.len(), draw)
     }
 
-    /// One of the VMs, by `draw` from 0 to 1.
-    pub(crate) fn any_one(&self, draw: f64) -> Option<SocketAddr> {
+    /// Picks one of the known VMs by `draw`, a random number from 0 to 1.
+    pub(crate) fn random_known_vm(&self, draw: f64) -> Option<SocketAddr> {
         pick(self.known.keys(), self.known.len(), draw)
     }
 }
 
-/// The place of a VM in an order by chance.
-fn place(address: SocketAddr) -> u64 {
+/// The key of a VM in an order that is independent of its zone.
+fn address_hash(address: SocketAddr) -> u64 {
     xxh3_64(address.to_string().as_bytes())
 }
 
+/// Picks one of `count` addresses by `draw`, a random number from 0 to 1.
 fn pick<'a>(
     mut addresses: impl Iterator<Item = &'a SocketAddr>,
     count: usize,
     draw: f64,
 ) -> Option<SocketAddr> {
-    let place = (draw * count as f64) as usize;
-    addresses.nth(place.min(count.saturating_sub(1))).copied()
+    let index = (draw * count as f64) as usize;
+    addresses.nth(index.min(count.saturating_sub(1))).copied()
 }
 
-/// The end of a range that stops where another one begins.
+/// The end of the range that stops just before the one that starts at `from`.
 fn from_excluded(from: Bound<SocketAddr>) -> Bound<SocketAddr> {
     match from {
         Bound::Included(address) => Bound::Excluded(address),
