--- a/src/gateway/election.rs
+++ b/src/gateway/election.rs
@@ -145,7 +145,7 @@
                 let others = members.names.iter().filter(|name| **name != self.member);
                 let others = others.filter_map(|name| name.parse::<SocketAddr>().ok());
                 let peers = &self.state.peers;
-                peers.set_members(others.collect(), members.is_all);
+                peers.set_members(others.collect(), members.is_complete);
             }
             Err(error) => {
                 warn!(?error, "members not read");
@@ -244,7 +244,7 @@
             return;
         }
         self.checked_at.set(Some(Instant::now()));
-        match self.store.has_successor(fence).await {
+        match self.store.has_later_claim(fence).await {
             Ok(true) => self.stop(),
             Ok(false) => self.is_unchecked.set(false),
             // Asked again at the next turn, unless the log is away.
--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -46,7 +46,7 @@
         let now = Instant::now();
         for crash in &digest.crashes {
             let suspects = &self.state.suspects;
-            if suspects.note_crashes(crash.fingerprint, crash.crashes, now) {
+            if suspects.merge_crashes(crash.fingerprint, crash.crashes, now) {
                 info!(peer = %sender, fingerprint = crash.fingerprint, crashes = crash.crashes, "crash told");
             }
         }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -2,7 +2,7 @@
 
 use crate::callers::Ledger;
 use crate::gateway::call::Cost;
-use crate::gateway::crash_suspects::Suspects;
+use crate::gateway::crash_suspects::CrashSuspects;
 use crate::gateway::demand::Demand;
 use crate::gateway::directory_updates::{Assembly, DirectoryNews};
 use crate::gateway::fleet::{Fleet, Holding, Incarnation, Taken};
@@ -40,7 +40,7 @@
     /// What this VM read of the log.
     pub(crate) following: Following,
     /// Requests that were aboard when servers crashed.
-    pub(crate) suspects: Suspects,
+    pub(crate) suspects: CrashSuspects,
     /// The demand that this VM sees.
     pub(crate) demand: Demand,
     /// How fast runners work on each model.
@@ -89,7 +89,7 @@
             is_directory_known: Cell::new(false),
             peers: Peers::new(settings.peer_address, Instant::now()),
             following: Following::default(),
-            suspects: Suspects::default(),
+            suspects: CrashSuspects::default(),
             demand: Demand::default(),
             speeds: Speeds::default(),
             ledger: RefCell::new(Ledger::new(settings.bounds.quota, Instant::now())),
@@ -205,21 +205,21 @@
         let mut told = Vec::new();
         for change in changes.items {
             match change {
-                ServerChange::Here(entry) => {
+                ServerChange::Upserted(entry) => {
                     let taken = self.fleet.take(entry.clone());
                     if taken == Taken::News {
                         has_news = true;
                         info!(server = %entry.id, state = ?entry.state, "server listed");
                     }
                     if taken > Taken::Renewed {
-                        told.push(ServerChange::Here(entry));
+                        told.push(ServerChange::Upserted(entry));
                     }
                 }
-                ServerChange::Gone(id) => {
+                ServerChange::Removed(id) => {
                     has_news |= self.fleet.server(&id).is_some();
                     self.fleet.lapse(&id, now);
                     // Others may know it still, where this VM alone met another one at its address.
-                    told.push(ServerChange::Gone(id));
+                    told.push(ServerChange::Removed(id));
                 }
             }
         }
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -15,7 +15,7 @@
 
 fn here(index: usize) -> ServerChange {
     let names = |count: usize| (0..count).map(|it| Name::from(format!("model-{it}")));
-    ServerChange::Here(Entry {
+    ServerChange::Upserted(Entry {
         id: format!("i-{index}").into(),
         started_ms: 1_000 + index as u64,
         sequence: 5,
@@ -37,7 +37,7 @@
 }
 
 fn changes(count: usize) -> Vec<ServerChange> {
-    let gone = ServerChange::Gone("i-gone".into());
+    let gone = ServerChange::Removed("i-gone".into());
     (0..count).map(here).chain([gone]).collect()
 }
 
@@ -111,11 +111,11 @@
     let state = state();
     assert_eq!(read(&state, vec![here(1)]), 1);
     assert_eq!(read(&state, vec![here(1)]), 0);
-    let ServerChange::Here(mut entry) = here(1) else {
+    let ServerChange::Upserted(mut entry) = here(1) else {
         panic!("it is an entry");
     };
     entry.holdings.clear();
-    assert_eq!(read(&state, vec![ServerChange::Here(entry)]), 1);
+    assert_eq!(read(&state, vec![ServerChange::Upserted(entry)]), 1);
 }
 
 #[test]
@@ -125,5 +125,5 @@
     // Another server answered at its address.
     state.fleet.lapse("i-1", Instant::now());
     state.forget_lapsed(Instant::now());
-    assert_eq!(read(&state, vec![ServerChange::Gone("i-1".into())]), 1);
+    assert_eq!(read(&state, vec![ServerChange::Removed("i-1".into())]), 1);
 }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -228,13 +228,13 @@
         let ids: HashSet<&Name> = here
             .iter()
             .filter_map(|change| match change {
-                ServerChange::Here(entry) => Some(&entry.id),
-                ServerChange::Gone(_) => None,
+                ServerChange::Upserted(entry) => Some(&entry.id),
+                ServerChange::Removed(_) => None,
             })
             .collect();
         let servers = self.state.fleet.servers().into_iter();
         let gone = servers.filter(|server| !ids.contains(&server.id) && !server.is_lapsed());
-        gone.map(|server| ServerChange::Gone(server.id.clone()))
+        gone.map(|server| ServerChange::Removed(server.id.clone()))
             .collect()
     }
 
