--- a/src/gateway/demand.rs
+++ b/src/gateway/demand.rs
@@ -1,7 +1,7 @@
 //! Measures the demand for each model as exponentially decaying rates.
 
 use crate::gateway::Weights;
-use crate::gateway::peers::WantedRate;
+use crate::gateway::peers::DemandRate;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -13,15 +13,15 @@
 
 #[derive(Clone, Copy, Debug)]
 struct DecayingRate {
-    wanted: WantedRate,
+    wanted: DemandRate,
     updated_at: Instant,
 }
 
 impl DecayingRate {
-    fn decayed(self, now: Instant) -> WantedRate {
+    fn decayed(self, now: Instant) -> DemandRate {
         let age = now.saturating_duration_since(self.updated_at).as_secs_f64();
         let factor = (-age / DECAY_TIME.as_secs_f64()).exp();
-        WantedRate {
+        DemandRate {
             busy_ms_per_s: self.wanted.busy_ms_per_s * factor,
             requests_per_s: self.wanted.requests_per_s * factor,
             waiting: 0,
@@ -53,7 +53,7 @@
     }
 
     /// Returns the current rates.
-    pub(crate) fn rates(&self, now: Instant) -> Vec<(Weights, WantedRate)> {
+    pub(crate) fn rates(&self, now: Instant) -> Vec<(Weights, DemandRate)> {
         let mut rates = self.rates.borrow_mut();
         rates.retain(|_, rate| rate.decayed(now).requests_per_s >= MIN_REQUESTS_PER_S);
         let rates = rates.iter();
