--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,37 +1,37 @@
-//! A stream of server-sent events, cut into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The end of an event.
+/// The empty line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// The beginning of the line with an event's number.
+/// Prefix of the line that holds the id of an event.
 const ID_LINE: &[u8] = b"id:";
-/// The largest event, in bytes; far above any that a runner makes.
+/// Maximum size of an event, in bytes; far above any that a runner sends.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// One whole event.
+/// A whole event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct StreamEvent {
-    /// The event as it came, with the empty line that ends it.
+    /// The event as received, including the empty line that ends it.
     pub(crate) bytes: Bytes,
-    /// Its number, where it has one.
+    /// Id of the event, if it has a numeric one.
     pub(crate) id: Option<u64>,
 }
 
-/// Bytes that have come and are not a whole event yet.
+/// Buffers received bytes until they make up whole events.
 #[derive(Debug, Default)]
 pub(crate) struct EventBuffer {
     bytes: BytesMut,
 }
 
 impl EventBuffer {
-    /// Takes in bytes; false once an event is too long to be one.
+    /// Appends received bytes; returns false if the buffer then exceeds the maximum event size.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> bool {
         self.bytes.extend_from_slice(bytes);
         self.bytes.len() <= MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Removes and returns the next whole event; `None` if more bytes are needed.
     pub(crate) fn next(&mut self) -> Option<StreamEvent> {
         let end = self
             .bytes
@@ -42,7 +42,7 @@
         Some(StreamEvent { bytes, id })
     }
 
-    /// Whether no part of an event is left over.
+    /// Whether the buffer holds no part of an event.
     pub(crate) fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
