--- a/src/gateway/tests/views.rs
+++ b/src/gateway/tests/views.rs
@@ -1,4 +1,5 @@
-//! Every VM knows every VM, at any size of the fleet, over a network that loses messages.
+//! Simulates fleets of different sizes over a network that loses messages, and tests that the view
+//! of every VM contains all VMs.
 
 use crate::gateway::budget::{Allowance, RetryBudget};
 use crate::gateway::gossip::INTERVAL;
@@ -12,8 +13,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Members that the log lists at most: the partitions of one topic.
-const LISTED: usize = 12;
+/// Maximum number of members that the log lists: the number of partitions of one topic.
+const MAX_LISTED: usize = 12;
 const ZONES: usize = 5;
 
 struct Vm {
@@ -21,18 +22,18 @@
     zone: Name,
     boot: u64,
     peers: Peers,
-    turn: usize,
+    round: usize,
     is_up: bool,
-    is_cut: bool,
+    is_partitioned: bool,
 }
 
-/// VMs whose messages reach each other at once, or never.
+/// Simulated VMs, whose messages are either delivered at once or lost.
 struct Fleet {
     vms: Vec<Vm>,
     now: Instant,
     loss: f64,
-    /// A VM, and one that no message of it reaches.
-    unheard: Option<(usize, usize)>,
+    /// A sender and a receiver whose messages are all lost.
+    blocked: Option<(usize, usize)>,
     random: StdRng,
 }
 
@@ -42,7 +43,7 @@
             vms: Vec::new(),
             now: Instant::now(),
             loss,
-            unheard: None,
+            blocked: None,
             random: StdRng::seed_from_u64(7),
         };
         for index in 0..count {
@@ -60,24 +61,24 @@
             zone: Name::from(format!("zone-{}", index % ZONES)),
             boot: self.random.random(),
             peers: Peers::new(address, self.now),
-            turn: index,
+            round: index,
             is_up: true,
-            is_cut: false,
+            is_partitioned: false,
         }
     }
 
-    /// Each VM that the log reaches reads the few members that it lists.
+    /// Each VM that can reach the log reads the few members that the log lists.
     fn read_members(&mut self) {
         for index in 0..self.vms.len() {
-            let up = self.vms.iter().filter(|vm| vm.is_up && !vm.is_cut);
+            let up = self.vms.iter().filter(|vm| vm.is_up && !vm.is_partitioned);
             let mut listed: Vec<SocketAddr> = up.map(|vm| vm.address).collect();
-            while listed.len() > LISTED {
+            while listed.len() > MAX_LISTED {
                 let drop = self.random.random_range(0..listed.len());
                 listed.swap_remove(drop);
             }
             listed.retain(|it| *it != self.vms[index].address);
-            if !self.vms[index].is_cut {
-                let is_all = listed.len() + 1 < LISTED;
+            if !self.vms[index].is_partitioned {
+                let is_all = listed.len() + 1 < MAX_LISTED;
                 self.vms[index].peers.set_members(listed, is_all);
             }
         }
@@ -86,9 +87,9 @@
     fn deliver(&mut self, from: usize, to: SocketAddr, digest: &Digest) {
         let to = index(to);
         let is_lost = self.random.random_bool(self.loss);
-        let is_cut = self.vms[from].is_cut != self.vms[to].is_cut;
-        let is_unheard = self.unheard == Some((from, to));
-        if is_lost || is_cut || is_unheard || !self.vms[to].is_up {
+        let is_partitioned = self.vms[from].is_partitioned != self.vms[to].is_partitioned;
+        let is_blocked = self.blocked == Some((from, to));
+        if is_lost || is_partitioned || is_blocked || !self.vms[to].is_up {
             return;
         }
         let sender = self.vms[from].address;
@@ -106,41 +107,41 @@
         }
     }
 
-    /// One turn of each VM, in the order that VMs really take them.
-    fn turn(&mut self) {
+    /// Runs one gossip round of each VM, in the order of steps that `Gossip` has.
+    fn run_round(&mut self) {
         for from in 0..self.vms.len() {
             let vm = &self.vms[from];
             if !vm.is_up {
                 continue;
             }
             let targets = vm.peers.targets(&vm.zone);
-            let far_interval = INTERVAL * targets.far_turns() as u32;
+            let remote_interval = INTERVAL * targets.far_turns() as u32;
             let digest = Digest {
                 boot: vm.boot,
                 availability_zone: vm.zone.to_string(),
-                next_in_ms: far_interval.as_millis() as u32,
+                next_in_ms: remote_interval.as_millis() as u32,
                 ..Digest::default()
             };
-            let mut near = digest.clone();
-            near.vms = zones_of(&vm.peers.sample(targets.vms_a_message()), self.now);
-            let asked = vm.peers.take_ask(self.now);
+            let mut local_digest = digest.clone();
+            local_digest.vms = zones_of(&vm.peers.sample(targets.vms_a_message()), self.now);
+            let asked_peer = vm.peers.take_ask(self.now);
             let lost = vm.peers.lost_one();
-            self.vms[from].turn += 1;
-            let turn = self.vms[from].turn;
-            for (_, far) in targets.far_part(turn) {
-                for to in far {
+            self.vms[from].round += 1;
+            let round = self.vms[from].round;
+            for (_, part) in targets.far_part(round) {
+                for to in part {
                     self.deliver(from, to, &digest);
                 }
             }
-            for to in targets.near_part(turn).into_iter().chain(lost) {
-                self.deliver(from, to, &near);
+            for to in targets.near_part(round).into_iter().chain(lost) {
+                self.deliver(from, to, &local_digest);
             }
-            if let Some(asked) = asked {
-                let ask = Digest {
+            if let Some(asked_peer) = asked_peer {
+                let request = Digest {
                     asks_vms: true,
                     ..digest.clone()
                 };
-                self.deliver(from, asked, &ask);
+                self.deliver(from, asked_peer, &request);
             }
             self.vms[from].peers.forget_silent(self.now);
         }
@@ -150,19 +151,20 @@
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.turn();
+            self.run_round();
         }
     }
 
-    /// Lets time pass, and prints after how long all VMs that are up knew just these.
-    fn run_and_tell(&mut self, time: Duration, what: &str) {
-        let began = self.now;
+    /// Runs for `time` and prints how long it took until the view of each VM that is up held
+    /// exactly the VMs that are up.
+    fn run_and_print(&mut self, time: Duration, what: &str) {
+        let start = self.now;
         let up = self.vms.iter().filter(|vm| vm.is_up).count();
         let mut full_after = None;
-        while self.now < began + time {
-            self.turn();
+        while self.now < start + time {
+            self.run_round();
             if self.known() == (up, up) {
-                full_after.get_or_insert(self.now - began);
+                full_after.get_or_insert(self.now - start);
             }
         }
         println!(
@@ -171,7 +173,7 @@
         );
     }
 
-    /// The fewest and the most VMs that any VM that is up knows, itself included.
+    /// Smallest and largest view of the VMs that are up, each VM itself included.
     fn known(&self) -> (usize, usize) {
         let up = self.vms.iter().filter(|vm| vm.is_up);
         let counts: Vec<usize> = up.map(|vm| vm.peers.vms()).collect();
@@ -182,7 +184,7 @@
 }
 
 #[test]
-fn every_vm_is_known_to_every_vm_three_seconds_after_a_start_and_stays_so() {
+fn every_view_is_complete_three_seconds_after_a_start_and_stays_so() {
     let fleets = [
         (9, 0.1),
         (30, 0.0),
@@ -193,64 +195,64 @@
     ];
     for (count, loss) in fleets {
         let mut fleet = Fleet::start(count, loss);
-        fleet.run_and_tell(Duration::from_secs(3), "a start");
+        fleet.run_and_print(Duration::from_secs(3), "a start");
         assert_eq!(fleet.known(), (count, count), "loss {loss}");
-        // Nobody alive is ever lost, though most are heard seldom.
+        // No live VM is lost, although most VMs rarely receive a message from it.
         for _ in 0..25 {
-            fleet.turn();
+            fleet.run_round();
             assert_eq!(fleet.known(), (count, count), "loss {loss}");
         }
     }
 }
 
 #[test]
-fn a_vm_that_another_one_does_not_hear_is_known_to_it_by_others() {
-    // Three VMs a zone or more: somebody else there hears both.
+fn a_vm_whose_messages_to_another_are_lost_stays_in_its_view_through_others() {
+    // With three or more VMs in a zone, another VM of the zone receives messages from both.
     for count in [15, 76, 195, 410] {
         let mut fleet = Fleet::start(count, 0.0);
-        // Both stand in one zone.
-        fleet.unheard = Some((0, ZONES));
+        // Both are in one zone.
+        fleet.blocked = Some((0, ZONES));
         fleet.run(Duration::from_secs(3));
         for _ in 0..50 {
-            fleet.turn();
+            fleet.run_round();
             assert_eq!(fleet.known(), (count, count));
         }
     }
 }
 
 #[test]
-fn a_vm_that_is_gone_leaves_all_views_within_five_seconds_and_does_not_come_back() {
+fn a_vm_that_stopped_leaves_all_views_within_five_seconds_and_does_not_return() {
     for count in [9, 195] {
         let mut fleet = Fleet::start(count, 0.1);
         fleet.run(Duration::from_secs(3));
         fleet.vms[3].is_up = false;
-        fleet.run_and_tell(Duration::from_secs(5), "one gone");
+        fleet.run_and_print(Duration::from_secs(5), "one gone");
         assert_eq!(fleet.known(), (count - 1, count - 1));
         for _ in 0..25 {
-            fleet.turn();
+            fleet.run_round();
             assert_eq!(fleet.known(), (count - 1, count - 1));
         }
     }
 }
 
 #[test]
-fn the_halves_of_a_fleet_find_each_other_after_a_cut_without_the_log() {
+fn a_fleet_merges_after_a_partition_without_the_log() {
     let mut fleet = Fleet::start(76, 0.1);
     fleet.run(Duration::from_secs(3));
-    let cut = |fleet: &mut Fleet, is_cut| {
+    let set_partition = |fleet: &mut Fleet, is_partitioned| {
         let in_zone = fleet.vms.iter_mut().filter(|vm| &*vm.zone == "zone-0");
-        in_zone.for_each(|vm| vm.is_cut = is_cut);
+        in_zone.for_each(|vm| vm.is_partitioned = is_partitioned);
     };
-    cut(&mut fleet, true);
+    set_partition(&mut fleet, true);
     fleet.run(Duration::from_secs(20));
     assert!(fleet.known().1 < 76);
-    cut(&mut fleet, false);
-    fleet.run_and_tell(Duration::from_secs(3), "a zone back after 20 s");
+    set_partition(&mut fleet, false);
+    fleet.run_and_print(Duration::from_secs(3), "a zone back after 20 s");
     assert_eq!(fleet.known(), (76, 76));
 }
 
 #[test]
-fn vms_that_start_again_in_turn_are_known_to_all() {
+fn vms_that_restart_one_after_another_are_in_all_views() {
     let mut fleet = Fleet::start(30, 0.1);
     fleet.run(Duration::from_secs(3));
     for index in 0..30 {
@@ -272,23 +274,23 @@
 }
 
 #[test]
-fn another_process_at_an_address_is_another_vm() {
+fn a_new_process_at_an_address_is_another_vm() {
     let now = Instant::now();
     let mut view = View::new(address(0), now);
     assert!(view.note(sighting(1, now), now));
     view.note_left(address(1), 1, now);
     assert_eq!(view.vms(), 1);
     let later = now + INTERVAL;
-    // Others have yet to hear of its end.
+    // A VM that does not know yet that the process left still advertises it.
     assert!(!view.note(sighting(1, later), later));
     assert!(view.note(sighting(2, later), later));
-    // What is told of the earlier process does not replace the present one.
+    // A late sighting of the earlier process does not replace the present one.
     assert!(!view.note(sighting(1, now), later));
     assert_eq!(view.get(&address(1)).map(|it| it.boot), Some(2));
 }
 
 #[test]
-fn a_vm_that_stood_still_itself_loses_nobody() {
+fn a_vm_that_was_paused_itself_loses_no_peer() {
     let now = Instant::now();
     let mut view = View::new(address(0), now);
     view.note(sighting(1, now), now);
@@ -303,7 +305,7 @@
 }
 
 #[test]
-fn vms_that_have_just_started_take_no_part_of_the_slack_of_retries() {
+fn vms_that_have_just_started_use_no_share_of_the_retry_slack() {
     const VMS: usize = 195;
     let allowance = Allowance {
         ratio: 0.2,
@@ -314,9 +316,9 @@
     let mut fleet = Fleet::start(VMS, 0.1);
     let budgets: Vec<RetryBudget> = (0..VMS).map(|_| RetryBudget::new(allowance)).collect();
     let (mut requests, mut retries) = (0.0, 0.0);
-    // All start at once and every request wants to be sent again, twice.
+    // All VMs start at once, and every request asks for two retries.
     for _ in 0..30 {
-        fleet.turn();
+        fleet.run_round();
         for (vm, budget) in fleet.vms.iter().zip(&budgets) {
             budget.note_request(&service, fleet.now);
             requests += 1.0;
