--- a/src/gateway/journal.rs
+++ b/src/gateway/journal.rs
@@ -1,4 +1,6 @@
-//! The process's log: one JSON object a line on standard output, bounded and never waited for.
+//! Log output of the process: one JSON object per line on standard output.
+//!
+//! Lines are buffered up to a limit and written by a thread of their own, so logging never blocks.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,30 +8,30 @@
 use std::time::Duration;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Bytes of lines that wait to be written at most; what comes then is dropped and counted.
-const MAX_WAITING_BYTES: usize = 256 * 1024;
-/// The time between two writes: one system call for many lines.
+/// Maximum number of buffered bytes. Lines that exceed it are dropped and counted.
+const MAX_PENDING_BYTES: usize = 256 * 1024;
+/// Time between two writes, so that one system call writes many lines.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Lines that wait to be written.
+/// Lines that are not written yet, and the number of lines dropped since the last write.
 #[derive(Debug, Default)]
-struct Waiting {
+struct PendingLines {
     lines: Mutex<Vec<u8>>,
     dropped: AtomicU64,
 }
 
-/// Makes the writers of log lines.
+/// Handle to the buffer of the process's log, which makes the writers of log lines.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Journal(Arc<Waiting>);
+pub(crate) struct BufferedLog(Arc<PendingLines>);
 
-/// Takes one line.
+/// Appends one log line to the buffer.
 #[derive(Debug)]
-pub(crate) struct LineWriter<'a>(&'a Waiting);
+pub(crate) struct LineWriter<'a>(&'a PendingLines);
 
 impl Write for LineWriter<'_> {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut lines = self.0.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() + line.len() > MAX_WAITING_BYTES {
+        if lines.len() + line.len() > MAX_PENDING_BYTES {
             self.0.dropped.fetch_add(1, Ordering::Relaxed);
         } else {
             lines.extend_from_slice(line);
@@ -42,7 +44,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Journal {
+impl<'a> MakeWriter<'a> for BufferedLog {
     type Writer = LineWriter<'a>;
 
     fn make_writer(&'a self) -> Self::Writer {
@@ -50,21 +52,21 @@
     }
 }
 
-impl Journal {
-    /// Starts the log of this process.
+impl BufferedLog {
+    /// Installs the log subscriber of the process and starts the thread that writes the lines.
     ///
     /// # Errors
     ///
-    /// Fails when the thread that writes cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub(crate) fn start() -> io::Result<Self> {
-        let journal = Self::default();
+        let log = Self::default();
         tracing_subscriber::fmt()
             .json()
             .flatten_event(true)
             .with_target(false)
-            .with_writer(journal.clone())
+            .with_writer(log.clone())
             .init();
-        let writer = journal.clone();
+        let writer = log.clone();
         std::thread::Builder::new()
             .name("journal".into())
             .stack_size(64 * 1024)
@@ -74,16 +76,16 @@
                     writer.flush();
                 }
             })?;
-        Ok(journal)
+        Ok(log)
     }
 
-    /// Writes what waits; only the writing thread and the end of the process call this.
+    /// Writes the buffered lines. Called only by the writing thread and at the end of the process.
     pub(crate) fn flush(&self) {
         let lines =
             std::mem::take(&mut *self.0.lines.lock().unwrap_or_else(PoisonError::into_inner));
         let dropped = self.0.dropped.swap(0, Ordering::Relaxed);
         let mut output = io::stdout().lock();
-        // Where standard output is closed there is nobody left to tell.
+        // If standard output is closed, there is nowhere to report the error.
         let _ = output.write_all(&lines);
         if dropped > 0 {
             let _ = writeln!(
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -4,7 +4,7 @@
 use crate::gateway::election::Leading;
 use crate::gateway::fleet::Incarnation;
 use crate::gateway::gossip::Gossip;
-use crate::gateway::journal::Journal;
+use crate::gateway::journal::BufferedLog;
 use crate::gateway::relay::Relay;
 use crate::gateway::state::State;
 use crate::gateway::watch::Watch;
@@ -59,7 +59,7 @@
     S: ConfigSource + Directory + Group + Claims,
     R: RunnerControl,
 {
-    let journal = Journal::start().change_context(Fault::Logging)?;
+    let journal = BufferedLog::start().change_context(Fault::Logging)?;
     let callers = bind(settings.caller_address).await?;
     let ready = bind(settings.ready_address).await?;
     let state = Rc::new(State::new(settings, metrics));
