--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -47,7 +47,7 @@
         for crash in &digest.crashes {
             let suspects = &self.state.suspects;
             if suspects.note_crashes(crash.fingerprint, crash.crashes, now) {
-                info!(peer = %sender, fingerprint = crash.fingerprint, crashes = crash.crashes, "crash told");
+                info!(peer = %sender, fingerprint = crash.fingerprint, crashes = crash.crashes, "crash report received");
             }
         }
         if let Some(news) = digest.directory.clone() {
--- a/workbench/tests/site_recovery.rs
+++ b/workbench/tests/site_recovery.rs
@@ -116,7 +116,7 @@
         site.wait("the other VM heard of both crashes", async || {
             let log = site.log(1);
             log.iter()
-                .any(|line| line["message"] == "crash told" && line["crashes"] == 2)
+                .any(|line| line["message"] == "crash report received" && line["crashes"] == 2)
         })
         .await;
         for vm in [0, 1, 0, 1] {
