--- a/src/gateway/directory_updates.rs
+++ b/src/gateway/directory_updates.rs
@@ -1,9 +1,9 @@
-//! Changes of the directory as the VM that follows it passes them on to its zone.
+//! Directory changes, as the VM that follows the log forwards them to the other VMs of its zone.
 //!
-//! A message covers a stretch of the log: whoever has read up to some place within it knows all
-//! that matters up to its end once the message is taken over, and whoever has not reached its
-//! beginning missed something and reads the log itself. Entries that servers only renew are
-//! passed over.
+//! An update covers a range of offsets in the log. A receiver that has read up to an offset within
+//! the range is current up to the end of the range once it has applied the update. A receiver that
+//! has not reached the start of the range missed earlier changes and reads the log itself. Entries
+//! that servers only renewed are left out.
 
 use crate::gateway::fleet::{Entry, Holding, ServerState};
 use crate::gateway::gossip_message::ModelHolding;
@@ -12,37 +12,39 @@
 use crate::inventory::Name;
 use prost::Message;
 
-/// Bytes of changes in one message, so that it fits one datagram with what is around it.
+/// Maximum size of the changes in one message, in bytes, so that the whole message fits into one
+/// datagram.
 const MAX_PART_BYTES: usize = 1_100;
-/// Messages that one stretch is passed on in, at most; a longer one, as at the start of a whole
-/// fleet, is left to be read from the log, which takes a call a VM instead of datagrams to all.
+/// Maximum number of messages for one range of the log. Receivers read a longer range, such as the
+/// start of a whole fleet, from the log: that takes one call per VM instead of many datagrams to
+/// all.
 const MAX_PARTS: usize = 16;
 
-/// A part of the changes in a stretch of the directory's log.
+/// One part of the directory changes in a range of the log.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct DirectoryNews {
-    /// The offset from which on the changes are told.
+pub(super) struct DirectoryUpdate {
+    /// Offset at which the range starts.
     #[prost(uint64, tag = "1")]
     pub(super) from: u64,
-    /// The offset up to which they are told.
+    /// Offset just past the end of the range.
     #[prost(uint64, tag = "2")]
     pub(super) next: u64,
-    /// The place of this part, from 0.
+    /// Index of this part, from 0.
     #[prost(uint32, tag = "3")]
     pub(super) part: u32,
-    /// The number of parts.
+    /// Number of parts.
     #[prost(uint32, tag = "4")]
     pub(super) parts: u32,
-    /// Whether entries may have lapsed because the log itself was away.
+    /// Whether entries may have lapsed only because the log was unavailable.
     #[prost(bool, tag = "5")]
     pub(super) is_shaken: bool,
     #[prost(message, repeated, tag = "6")]
-    pub(super) changes: Vec<ToldServer>,
+    pub(super) changes: Vec<ServerUpdate>,
 }
 
-/// A server's entry, or that there is none any more.
+/// The entry of a backend server, or its removal.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct ToldServer {
+pub(super) struct ServerUpdate {
     #[prost(string, tag = "1")]
     id: String,
     #[prost(bool, tag = "2")]
@@ -69,8 +71,8 @@
     on_disk: Vec<String>,
 }
 
-impl ToldServer {
-    fn of(change: &ServerChange) -> Self {
+impl ServerUpdate {
+    fn from_change(change: &ServerChange) -> Self {
         let strings = |names: &[Name]| names.iter().map(Name::to_string).collect();
         match change {
             ServerChange::Gone(id) => Self {
@@ -88,15 +90,15 @@
                 availability_zone: entry.availability_zone.to_string(),
                 slots: entry.slots,
                 is_draining: entry.state == ServerState::Draining,
-                holdings: entry.holdings.iter().map(told_holding).collect(),
+                holdings: entry.holdings.iter().map(encode_holding).collect(),
                 in_memory: strings(&entry.in_memory),
                 on_disk: strings(&entry.on_disk),
             },
         }
     }
 
-    /// The change; `None` if it names no address.
-    fn change(self) -> Option<ServerChange> {
+    /// Decodes the change; `None` if its address cannot be parsed.
+    fn into_change(self) -> Option<ServerChange> {
         let names = |names: Vec<String>| names.into_iter().map(Name::from).collect();
         let id = Name::from(self.id);
         if self.is_gone {
@@ -125,8 +127,8 @@
     }
 }
 
-/// What a runner holds of one model, as messages tell it.
-pub(super) fn told_holding(holding: &Holding) -> ModelHolding {
+/// Converts a runner's holding of one model into its message form.
+pub(super) fn encode_holding(holding: &Holding) -> ModelHolding {
     ModelHolding {
         model: holding.model.to_string(),
         version: holding.version,
@@ -134,30 +136,31 @@
     }
 }
 
-/// The messages that tell of `changes` between two offsets; `None` where they are too many.
-pub(super) fn news_of(
+/// Splits the `changes` between two offsets into messages; `None` if they need more than
+/// [`MAX_PARTS`].
+pub(super) fn update_messages(
     changes: &[ServerChange],
     from: u64,
     next: u64,
     is_shaken: bool,
-) -> Option<Vec<DirectoryNews>> {
+) -> Option<Vec<DirectoryUpdate>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
-    for told in changes.iter().map(ToldServer::of) {
-        let length = told.encoded_len();
+    for change in changes.iter().map(ServerUpdate::from_change) {
+        let length = change.encoded_len();
         if bytes > 0 && bytes + length > MAX_PART_BYTES {
             parts.push(Vec::new());
             bytes = 0;
         }
         bytes += length;
-        parts.last_mut()?.push(told);
+        parts.last_mut()?.push(change);
     }
     let count = parts.len();
     if count > MAX_PARTS {
         return None;
     }
     let parts = parts.into_iter().enumerate();
-    let news = parts.map(|(part, changes)| DirectoryNews {
+    let messages = parts.map(|(part, changes)| DirectoryUpdate {
         from,
         next,
         part: part as u32,
@@ -165,42 +168,42 @@
         is_shaken,
         changes,
     });
-    Some(news.collect())
+    Some(messages.collect())
 }
 
-/// Puts the parts of a stretch together, in whatever order they come.
+/// Reassembles an update from its parts, which may arrive in any order.
 #[derive(Debug, Default)]
 pub(super) struct Assembly {
     from: u64,
     next: u64,
-    parts: Vec<Option<Vec<ToldServer>>>,
+    parts: Vec<Option<Vec<ServerUpdate>>>,
 }
 
 impl Assembly {
-    /// Takes a part; once all are there, the changes for a reader that has read up to `end`, if
-    /// they go on from there.
+    /// Adds a part. Once all parts are there, returns the changes if a reader that has read up to
+    /// offset `end` can apply them: `end` has to lie within the range of the update.
     pub(super) fn take(
         &mut self,
-        news: DirectoryNews,
+        update: DirectoryUpdate,
         end: Option<u64>,
     ) -> Option<Changes<ServerChange>> {
-        let count = (news.parts as usize).clamp(1, MAX_PARTS);
-        let is_other = self.from != news.from || self.next != news.next;
+        let count = (update.parts as usize).clamp(1, MAX_PARTS);
+        let is_other = self.from != update.from || self.next != update.next;
         if is_other || self.parts.len() != count {
-            self.from = news.from;
-            self.next = news.next;
+            self.from = update.from;
+            self.next = update.next;
             self.parts = vec![None; count];
         }
-        *self.parts.get_mut(news.part as usize)? = Some(news.changes);
+        *self.parts.get_mut(update.part as usize)? = Some(update.changes);
         if self.parts.iter().any(Option::is_none) {
             return None;
         }
-        let told = std::mem::take(&mut self.parts);
-        let goes_on = end.is_some_and(|end| self.from <= end && end < self.next);
-        let told = told.into_iter().flatten().flatten();
-        let items: Option<Vec<ServerChange>> = told.map(ToldServer::change).collect();
+        let parts = std::mem::take(&mut self.parts);
+        let is_applicable = end.is_some_and(|end| self.from <= end && end < self.next);
+        let changes = parts.into_iter().flatten().flatten();
+        let items: Option<Vec<ServerChange>> = changes.map(ServerUpdate::into_change).collect();
         Some(Changes {
-            items: items.filter(|_| goes_on)?,
+            items: items.filter(|_| is_applicable)?,
             next: self.next,
         })
     }
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -1,7 +1,7 @@
 //! The messages between VMs.
 
 use crate::callers::{SPANS, Tally, Usage};
-use crate::gateway::directory_updates::DirectoryNews;
+use crate::gateway::directory_updates::DirectoryUpdate;
 use crate::gateway::view::Sighting;
 use crate::inventory::Name;
 use prost::Message;
@@ -65,7 +65,7 @@
     pub(super) asks_vms: bool,
     /// Changes of the directory, passed on to the own zone.
     #[prost(message, optional, tag = "18")]
-    pub(super) directory: Option<DirectoryNews>,
+    pub(super) directory: Option<DirectoryUpdate>,
     /// What organisations were granted at the sender, or in its zone for VMs of other zones.
     #[prost(message, optional, tag = "19")]
     pub(super) tally: Option<ToldTally>,
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -1,7 +1,7 @@
 //! What this VM tells the others: its load, its zone's, its demand, what runners hold.
 
 use crate::callers::{Ledger, Tally};
-use crate::gateway::directory_updates::told_holding;
+use crate::gateway::directory_updates::encode_holding;
 use crate::gateway::fleet::{Holding, Incarnation};
 use crate::gateway::gossip::{Gossip, INTERVAL};
 use crate::gateway::gossip_message::{
@@ -210,6 +210,6 @@
     ServerHoldings {
         server: run.id.to_string(),
         started_ms: run.started_ms,
-        models: holdings.iter().map(told_holding).collect(),
+        models: holdings.iter().map(encode_holding).collect(),
     }
 }
--- a/src/gateway/log_follower.rs
+++ b/src/gateway/log_follower.rs
@@ -1,92 +1,94 @@
-//! Who follows the log closely, and what the others learn of it from them.
+//! Selects the VM that follows the log for its zone, and keeps the state of this VM's reads.
 //!
-//! Every reading of the log costs, and most bring nothing. So one VM in each zone follows it
-//! closely and tells up to where it has read news; the others read for themselves when they are
-//! told of some, and now and then. Changes of the directory are passed on with their offsets
-//! (`directory_updates.rs`), so that no VM needs to read them that has missed none. Everybody
-//! follows closely while nobody tells of fresh readings, so that a VM that is cut off from the log
-//! or stands still delays the others by no more than [`FRESH_FOR`].
+//! Each read of the log has a cost, and most return nothing new. So one VM in each zone follows the
+//! log closely, with frequent reads, and advertises the offsets of the last changes that it read.
+//! The other VMs read the log when an advertised offset is ahead of theirs, and otherwise rarely.
+//! Directory changes are forwarded together with their offsets (`directory_updates.rs`), so a VM
+//! reads them from the log only if it missed some. While no VM of a zone advertises a fresh read,
+//! all of them follow the log closely: a follower that hangs or is cut off from the log delays the
+//! others by at most [`FRESH_FOR`].
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// For how long what was read counts as all that there is: a reading each 0.5 s, held for as long
-/// where it waits for a change, and its way to the others in a message each 0.2 s.
+/// How long a read counts as current. This covers the interval of 0.5 s between two reads, a read
+/// that is held for another 0.5 s while it waits for a change, and the round of 0.2 s in which its
+/// offsets are sent to the other VMs.
 pub(crate) const FRESH_FOR: Duration = Duration::from_millis(1_200);
 
-/// How long after a failed read the directory counts as shaken.
-const SHAKEN_FOR: Duration = Duration::from_millis(4_000);
+/// How long the directory counts as disrupted after a failed read.
+const DISRUPTED_FOR: Duration = Duration::from_millis(4_000);
 
-/// The state of one part of the log, as it was read last.
+/// Result of the last read of one part of the log: the directory or the configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Reading {
-    /// The offset after the last change that others must know of at once.
+    /// Offset just past the last change that other VMs must learn of at once.
     pub(crate) news: u64,
-    /// When it was read.
+    /// Time of the read.
     pub(crate) at: Instant,
 }
 
 impl Reading {
-    /// Whether hardly anything can have changed since.
+    /// Whether the read is recent enough to count as the current state of the log.
     pub(crate) fn is_fresh(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.at) < FRESH_FOR
     }
 }
 
-/// What a VM that follows the log closely has read.
+/// Last reads of a VM that follows the log closely.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Readings {
-    /// Of the directory of backend servers.
+    /// Last read of the directory of backend servers.
     pub(crate) directory: Reading,
-    /// The offset up to which the directory was read: nothing that matters comes between its news
-    /// and there.
+    /// Offset up to which the directory was read. No record between `directory.news` and this
+    /// offset matters to other VMs.
     pub(crate) directory_end: u64,
-    /// Of the configuration.
+    /// Last read of the configuration.
     pub(crate) configuration: Reading,
 }
 
 impl Readings {
-    /// Whether hardly anything can have changed since.
+    /// Whether both reads are recent enough to count as the current state of the log.
     pub(crate) fn is_fresh(&self, now: Instant) -> bool {
         self.directory.is_fresh(now) && self.configuration.is_fresh(now)
     }
 }
 
-/// This VM's own readings.
+/// State of this VM's own reads of the log.
 #[derive(Debug, Default)]
-pub(crate) struct Following {
-    /// Of the directory of backend servers.
+pub(crate) struct FollowerState {
+    /// Last read of the directory of backend servers.
     pub(crate) directory: Cell<Option<Reading>>,
-    /// Of the configuration.
+    /// Last read of the configuration.
     pub(crate) configuration: Cell<Option<Reading>>,
-    /// The offset from which the directory is read on; `None` where all of it is to be read.
+    /// Offset of the next read of the directory; `None` if the whole directory has to be read.
     pub(crate) directory_end: Cell<Option<u64>>,
-    /// Up to where the zone was told the directory's changes.
-    pub(crate) told_to: Cell<Option<u64>>,
-    /// When the log was last found away.
-    pub(crate) shaken_at: Cell<Option<Instant>>,
+    /// Offset up to which directory changes were sent to the zone.
+    pub(crate) sent_to: Cell<Option<u64>>,
+    /// Time of the last failure to read the directory, here or at the VM that forwarded an update.
+    pub(crate) disrupted_at: Cell<Option<Instant>>,
 }
 
-impl Following {
-    /// Notes that changes of the directory up to `next` came from another VM: what this one tells
-    /// its zone later goes on from there.
-    pub(crate) fn note_told(&self, next: u64) {
+impl FollowerState {
+    /// Records that another VM sent the directory changes up to `next`. Updates that this VM sends
+    /// to its zone later start from there.
+    pub(crate) fn note_received_update(&self, next: u64) {
         self.directory_end.set(Some(next));
-        self.told_to.set(None);
+        self.sent_to.set(None);
         if let Some(mut reading) = self.directory.get() {
             reading.news = reading.news.max(next);
             self.directory.set(Some(reading));
         }
     }
 
-    /// Whether entries may lapse because the log itself was away.
+    /// Whether the log failed recently, so that entries may lapse although their servers are alive.
     pub(crate) fn is_shaken(&self, now: Instant) -> bool {
-        let shaken_at = self.shaken_at.get();
-        shaken_at.is_some_and(|at| now.saturating_duration_since(at) < SHAKEN_FOR)
+        let disrupted_at = self.disrupted_at.get();
+        disrupted_at.is_some_and(|at| now.saturating_duration_since(at) < DISRUPTED_FOR)
     }
 
-    /// Both readings, once there are both.
+    /// Last reads of the directory and the configuration; `None` until both were read.
     pub(crate) fn readings(&self) -> Option<Readings> {
         Some(Readings {
             directory: self.directory.get()?,
@@ -96,13 +98,14 @@
     }
 }
 
-/// Whether a VM is to follow the log closely, by what others in its zone tell of their own
-/// readings: the first by address that reads does so for all.
+/// Whether the VM at `own` has to follow the log closely, given the last reads that other VMs of
+/// its zone advertised. Of the VMs with fresh reads, the one with the lowest address follows the
+/// log for the zone.
 pub(crate) fn follows_closely(
     own: SocketAddr,
-    told: impl IntoIterator<Item = (SocketAddr, Readings)>,
+    advertised: impl IntoIterator<Item = (SocketAddr, Readings)>,
     now: Instant,
 ) -> bool {
-    let mut told = told.into_iter();
-    !told.any(|(peer, readings)| peer < own && readings.is_fresh(now))
+    let mut advertised = advertised.into_iter();
+    !advertised.any(|(peer, readings)| peer < own && readings.is_fresh(now))
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,7 +1,7 @@
 //! What other VMs told: their load, their demand, and who gives orders.
 
 use crate::gateway::Weights;
-use crate::gateway::directory_updates::DirectoryNews;
+use crate::gateway::directory_updates::DirectoryUpdate;
 use crate::gateway::fleet::Holding;
 use crate::gateway::gossip_message::{Crashes, Digest, SentPrompt, sightings_of};
 use crate::gateway::gossip_targets::Targets;
@@ -74,7 +74,7 @@
     is_urgent: Signal,
     crashes: RefCell<Vec<(Crashes, Instant)>>,
     /// Changes of the directory that the own zone is yet to be told of.
-    news: RefCell<Vec<DirectoryNews>>,
+    news: RefCell<Vec<DirectoryUpdate>>,
     /// Prompts that peers are yet to be told of.
     prompts: RefCell<Vec<(SentPrompt, Instant)>>,
     has_prompts: Signal,
@@ -250,13 +250,13 @@
     }
 
     /// Passes changes of the directory on to the own zone.
-    pub(super) fn tell_news(&self, news: Vec<DirectoryNews>) {
+    pub(super) fn tell_news(&self, news: Vec<DirectoryUpdate>) {
         self.news.borrow_mut().extend(news);
         self.hurry_to(Urgency::Zone);
     }
 
     /// Takes the changes of the directory that the own zone is yet to be told of.
-    pub(super) fn take_news(&self) -> Vec<DirectoryNews> {
+    pub(super) fn take_news(&self) -> Vec<DirectoryUpdate> {
         self.news.take()
     }
 
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -7,7 +7,7 @@
 use crate::gateway::journal::BufferedLog;
 use crate::gateway::relay::Relay;
 use crate::gateway::state::State;
-use crate::gateway::watch::Watch;
+use crate::gateway::watch::LogWatcher;
 use crate::gateway::{
     Claims, ConfigSource, Directory, Group, Metrics, Protocol, RunnerControl, Settings,
 };
@@ -70,7 +70,7 @@
     let settings = &state.settings;
     info!(vm = %settings.vm, zone = %settings.availability_zone, callers = %settings.caller_address, "started");
 
-    let watch = Watch::new(state.clone(), store.clone());
+    let watch = LogWatcher::new(state.clone(), store.clone());
     compio::runtime::spawn(watch.clone().follow_configuration()).detach();
     compio::runtime::spawn(watch.follow_directory()).detach();
     compio::runtime::spawn(gossip.clone().receive()).detach();
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -4,9 +4,9 @@
 use crate::gateway::call::Cost;
 use crate::gateway::crash_suspects::Suspects;
 use crate::gateway::demand::Demand;
-use crate::gateway::directory_updates::{Assembly, DirectoryNews};
+use crate::gateway::directory_updates::{Assembly, DirectoryUpdate};
 use crate::gateway::fleet::{Fleet, Holding, Incarnation, Taken};
-use crate::gateway::log_follower::{Following, Readings, follows_closely};
+use crate::gateway::log_follower::{FollowerState, Readings, follows_closely};
 use crate::gateway::peers::{Peers, Urgency, WantedRate};
 use crate::gateway::speeds::Speeds;
 use crate::gateway::{
@@ -38,7 +38,7 @@
     /// The other VMs.
     pub(crate) peers: Peers,
     /// What this VM read of the log.
-    pub(crate) following: Following,
+    pub(crate) following: FollowerState,
     /// Requests that were aboard when servers crashed.
     pub(crate) suspects: Suspects,
     /// The demand that this VM sees.
@@ -88,7 +88,7 @@
             fleet: Fleet::default(),
             is_directory_known: Cell::new(false),
             peers: Peers::new(settings.peer_address, Instant::now()),
-            following: Following::default(),
+            following: FollowerState::default(),
             suspects: Suspects::default(),
             demand: Demand::default(),
             speeds: Speeds::default(),
@@ -172,7 +172,7 @@
     }
 
     /// Takes over changes of the directory that the VM that follows it passed on.
-    pub(super) fn take_directory_news(&self, news: DirectoryNews, now: Instant) {
+    pub(super) fn take_directory_news(&self, news: DirectoryUpdate, now: Instant) {
         let is_shaken = news.is_shaken;
         let end = self.following.directory_end.get();
         let changes = self.assembly.borrow_mut().take(news, end);
@@ -180,7 +180,7 @@
             return;
         };
         if is_shaken {
-            self.following.shaken_at.set(Some(now));
+            self.following.disrupted_at.set(Some(now));
         }
         debug!(
             from = end,
@@ -190,7 +190,7 @@
         );
         let next = changes.next;
         self.take_directory(changes, now);
-        self.following.note_told(next);
+        self.following.note_received_update(next);
         self.forget_lapsed(now);
     }
 
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -1,6 +1,7 @@
-//! Changes of the directory reach the zone whole, or not at all.
+//! Tests that an update of the directory is applied as a whole or not at all, and of what is
+//! forwarded to the zone.
 
-use crate::gateway::directory_updates::{Assembly, DirectoryNews, news_of};
+use crate::gateway::directory_updates::{Assembly, DirectoryUpdate, update_messages};
 use crate::gateway::fleet::{Entry, Holding, ServerState};
 use crate::gateway::peers::Peers;
 use crate::gateway::state::State;
@@ -10,10 +11,10 @@
 use prost::Message;
 use std::time::{Duration, Instant};
 
-/// Bytes of a message that fit one datagram on any path.
+/// Maximum size of a message that fits into one datagram on any network path, in bytes.
 const DATAGRAM_BYTES: usize = 1_300;
 
-fn here(index: usize) -> ServerChange {
+fn listed(index: usize) -> ServerChange {
     let names = |count: usize| (0..count).map(|it| Name::from(format!("model-{it}")));
     ServerChange::Here(Entry {
         id: format!("i-{index}").into(),
@@ -38,15 +39,16 @@
 
 fn changes(count: usize) -> Vec<ServerChange> {
     let gone = ServerChange::Gone("i-gone".into());
-    (0..count).map(here).chain([gone]).collect()
+    (0..count).map(listed).chain([gone]).collect()
 }
 
-fn parts(count: usize, from: u64, next: u64) -> Vec<DirectoryNews> {
-    news_of(&changes(count), from, next, false).expect("they are few enough")
+fn parts(count: usize, from: u64, next: u64) -> Vec<DirectoryUpdate> {
+    update_messages(&changes(count), from, next, false).expect("they are few enough")
 }
 
-/// What is taken over of messages by a reader that has read up to `end`.
-fn taken(messages: Vec<DirectoryNews>, end: Option<u64>) -> Option<(usize, u64)> {
+/// Number of changes and the new end offset after a reader that has read up to `end` received the
+/// messages; `None` if it applies nothing.
+fn applied(messages: Vec<DirectoryUpdate>, end: Option<u64>) -> Option<(usize, u64)> {
     let mut assembly = Assembly::default();
     let mut whole = None;
     for message in messages {
@@ -56,12 +58,12 @@
 }
 
 #[test]
-fn changes_arrive_as_they_were_in_whatever_order_their_messages_come() {
+fn changes_are_reassembled_unchanged_from_messages_in_any_order() {
     let mut messages = parts(12, 40, 60);
     assert!(messages.len() > 1);
     assert!(messages.iter().all(|it| it.encoded_len() <= DATAGRAM_BYTES));
     messages.reverse();
-    assert_eq!(taken(messages.clone(), Some(50)), Some((13, 60)));
+    assert_eq!(applied(messages.clone(), Some(50)), Some((13, 60)));
     let mut assembly = Assembly::default();
     let whole = messages
         .into_iter()
@@ -71,59 +73,60 @@
 }
 
 #[test]
-fn a_reader_that_missed_something_takes_nothing_over() {
-    // It has not reached the beginning of the stretch, or knows nothing yet.
-    assert_eq!(taken(parts(1, 40, 60), Some(39)), None);
-    assert_eq!(taken(parts(1, 40, 60), None), None);
-    // It has read beyond it.
-    assert_eq!(taken(parts(1, 40, 60), Some(60)), None);
-    // A part was lost, and the next stretch does not make up for it.
+fn a_reader_that_missed_changes_applies_nothing() {
+    // The reader has not reached the start of the range, or has read nothing yet.
+    assert_eq!(applied(parts(1, 40, 60), Some(39)), None);
+    assert_eq!(applied(parts(1, 40, 60), None), None);
+    // The reader has read past the range.
+    assert_eq!(applied(parts(1, 40, 60), Some(60)), None);
+    // A part was lost, and the update for the next range does not make up for it.
     let mut messages = parts(12, 40, 60);
     messages.remove(0);
     messages.extend(parts(1, 60, 70));
-    assert_eq!(taken(messages, Some(50)), None);
+    assert_eq!(applied(messages, Some(50)), None);
 }
 
 #[test]
-fn a_fleet_that_starts_as_a_whole_is_read_from_the_log() {
-    assert!(news_of(&changes(400), 0, 400, false).is_none());
+fn the_start_of_a_large_fleet_is_left_to_be_read_from_the_log() {
+    assert!(update_messages(&changes(400), 0, 400, false).is_none());
 }
 
 #[test]
-fn a_prompt_that_has_been_read_is_not_told_any_more() {
+fn a_prompt_that_has_been_prefilled_is_not_reported_any_more() {
     let now = Instant::now();
     let peers = Peers::new("10.1.0.1:7380".parse().expect("an address"), now);
     peers.tell_prompt(&"i-1".into(), 18.0, now);
     peers.tell_prompt(&"i-2".into(), 50.0, now);
-    let told = peers.take_untold_prompts(9, now + Duration::from_millis(30));
-    let servers: Vec<&str> = told.iter().map(|it| it.server.as_str()).collect();
+    let reported = peers.take_untold_prompts(9, now + Duration::from_millis(30));
+    let servers: Vec<&str> = reported.iter().map(|it| it.server.as_str()).collect();
     assert_eq!(servers, ["i-2"]);
     assert!(peers.take_untold_prompts(9, now).is_empty());
 }
 
-fn read(state: &State, items: Vec<ServerChange>) -> usize {
+/// Applies changes and returns how many of them are forwarded to the zone.
+fn apply(state: &State, items: Vec<ServerChange>) -> usize {
     let changes = Changes { items, next: 0 };
     state.take_directory(changes, Instant::now()).0.len()
 }
 
 #[test]
-fn what_matters_to_others_is_told_and_what_is_only_renewed_is_not() {
+fn relevant_changes_are_forwarded_and_mere_renewals_are_not() {
     let state = state();
-    assert_eq!(read(&state, vec![here(1)]), 1);
-    assert_eq!(read(&state, vec![here(1)]), 0);
-    let ServerChange::Here(mut entry) = here(1) else {
+    assert_eq!(apply(&state, vec![listed(1)]), 1);
+    assert_eq!(apply(&state, vec![listed(1)]), 0);
+    let ServerChange::Here(mut entry) = listed(1) else {
         panic!("it is an entry");
     };
     entry.holdings.clear();
-    assert_eq!(read(&state, vec![ServerChange::Here(entry)]), 1);
+    assert_eq!(apply(&state, vec![ServerChange::Here(entry)]), 1);
 }
 
 #[test]
-fn a_server_that_this_vm_has_given_up_already_is_told_to_be_gone() {
+fn the_removal_of_a_server_that_this_vm_has_already_forgotten_is_forwarded() {
     let state = state();
-    read(&state, vec![here(1)]);
-    // Another server answered at its address.
+    apply(&state, vec![listed(1)]);
+    // This VM alone found another server at the address and dropped the entry.
     state.fleet.lapse("i-1", Instant::now());
     state.forget_lapsed(Instant::now());
-    assert_eq!(read(&state, vec![ServerChange::Gone("i-1".into())]), 1);
+    assert_eq!(apply(&state, vec![ServerChange::Gone("i-1".into())]), 1);
 }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -1,6 +1,6 @@
-//! Follows the configuration and the directory of backend servers.
+//! Follows the configuration and the directory of backend servers in the log.
 
-use crate::gateway::directory_updates::news_of;
+use crate::gateway::directory_updates::update_messages;
 use crate::gateway::log_follower::{Reading, Readings};
 use crate::gateway::peers::Urgency;
 use crate::gateway::state::State;
@@ -11,47 +11,48 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// How long one read waits for a change of the configuration: what it did not bring is then known
-/// not to be there, of which others are told. A read that is held while the log goes silent is
-/// given up soon after, so that a change made at the log's return is in force within 2 s.
+/// How long one read of the configuration waits for a change. A read that returns nothing shows
+/// that there is no change, which is then advertised to other VMs. If the log falls silent, a
+/// pending read is given up soon after this time, so that a change made when the log is back is in
+/// force within 2 s.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(500);
-/// The shortest time between two reads of the configuration, so that a storm of changes
-/// costs five calls a second; a tenth of the time in which a change has to be in force.
+/// Minimum time between two reads of the configuration. It limits a burst of changes to five calls
+/// per second, and is a tenth of the time within which a change has to be in force.
 const CONFIGURATION_INTERVAL: Duration = Duration::from_millis(200);
-/// The time between two reads of the directory: a quarter of the time after which no request
-/// may reach a server that leaves.
+/// Time between two reads of the directory: a quarter of the time after which no request may reach
+/// a server that leaves.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(500);
-/// The time between two reads where another VM in the zone follows the log and tells of news.
-const SELDOM_INTERVAL: Duration = Duration::from_secs(60);
-/// The time between two reads where the log itself is behind what was told.
+/// Time between two reads while another VM of the zone follows the log and advertises changes.
+const BACKGROUND_INTERVAL: Duration = Duration::from_secs(60);
+/// Time between two reads while the log returns less than another VM has advertised.
 const BEHIND_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The time between two looks for such news, half of that between two messages.
-const NEWS_POLL: Duration = Duration::from_millis(100);
-/// The pause after a failed read.
+/// Time between two checks for advertised changes: half of the time between two gossip messages.
+const UPDATE_POLL: Duration = Duration::from_millis(100);
+/// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// The longest pause while reads go on failing at a VM that can serve with what it knows, also
-/// where another VM follows the log for it: with 2 s a VM whose way to the log was restored had a
-/// change in force 3.5 s after it. One that knows too little refuses every request, and asks on
-/// at the first pace.
+/// Maximum pause while reads keep failing at a VM that can serve with the state it has, also if
+/// another VM follows the log for it. With 2 s, a VM whose connection to the log was restored had a
+/// change in force only 3.5 s later. A VM that is not ready refuses every request and retries
+/// without a longer pause.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
-/// All that is newest is read within this time after the log has dropped the records that a VM was
-/// to read next: the log serves, and no other VM is waited for. VMs that all find it at once do not
-/// all read at once.
+/// Maximum delay of the full read after the log dropped the records that a VM was to read next. The
+/// log is available then, so the VM does not wait for others. The delay is random, so that VMs that
+/// detect this at the same time do not all read at once.
 const COMPACTED_PAUSE: Duration = Duration::from_millis(400);
-/// VMs of a zone that go on asking a log that none of them can read; one may itself be cut off, and
-/// each question of each VM costs.
-const ASKERS: usize = 3;
-/// The longest pause of the others.
-const OTHERS_PAUSE: Duration = Duration::from_millis(4_000);
+/// Number of VMs in a zone that keep reading while no VM of the zone can read the log. More than
+/// one is needed since a single VM may itself be cut off; not all, since each read has a cost.
+const MAX_RETRYING_VMS: usize = 3;
+/// Maximum time for which the other VMs of the zone wait before they read the log themselves.
+const MAX_OTHERS_PAUSE: Duration = Duration::from_millis(4_000);
 
-/// Keeps the state in step with what the log holds.
-pub(crate) struct Watch<S> {
+/// Keeps the state of this VM up to date with the log.
+pub(crate) struct LogWatcher<S> {
     state: Rc<State>,
     store: Rc<S>,
 }
 
-impl<S: ConfigSource + Directory> Watch<S> {
-    /// A watch over a store.
+impl<S: ConfigSource + Directory> LogWatcher<S> {
+    /// Creates a watcher that reads from `store`.
     pub(crate) fn new(state: Rc<State>, store: Rc<S>) -> Rc<Self> {
         Rc::new(Self { state, store })
     }
@@ -65,8 +66,8 @@
             let read = match next {
                 None => self.store.newest().await,
                 Some(from) => {
-                    let told = self.state.told_news(read_at);
-                    let wait = told.map_or(CONFIGURATION_WAIT, |_| Duration::ZERO);
+                    let advertised = self.state.told_news(read_at);
+                    let wait = advertised.map_or(CONFIGURATION_WAIT, |_| Duration::ZERO);
                     self.store.changes(from, wait).await
                 }
             };
@@ -87,18 +88,19 @@
                     if is_change && self.state.follows_closely(reading.at) {
                         self.state.peers.hurry_to(Urgency::Zone);
                     }
-                    let is_news = |told: Readings| told.configuration.news > reading.news;
-                    self.await_turn(read_at, CONFIGURATION_INTERVAL, is_news)
+                    let has_update =
+                        |advertised: Readings| advertised.configuration.news > reading.news;
+                    self.wait_for_next_read(read_at, CONFIGURATION_INTERVAL, has_update)
                         .await;
                 }
                 Err(StoreError::Compacted) => {
                     next = None;
-                    self.await_new_reading("configuration", failures).await;
+                    self.wait_before_full_read("configuration", failures).await;
                 }
                 Err(error) => {
-                    self.note_failure("configuration", error, failures);
+                    self.report_failure("configuration", error, failures);
                     failures += 1;
-                    self.await_retry(failures).await;
+                    self.wait_before_retry(failures).await;
                 }
             }
         }
@@ -116,114 +118,115 @@
                 Some(from) => self.store.changes_since(from).await,
             };
             match read {
-                // What was passed on meanwhile is newer.
+                // An update forwarded by another VM arrived meanwhile and is newer.
                 Ok(_) if following.directory_end.get() != from => {}
                 Ok(changes) => {
                     if failures > 0 {
                         info!(failures, "directory regained");
                     }
                     failures = 0;
-                    self.take(changes, from);
-                    self.await_directory_turn(read_at).await;
+                    self.apply_read(changes, from);
+                    self.wait_for_next_directory_read(read_at).await;
                 }
                 Err(StoreError::Compacted) => {
                     following.directory_end.set(None);
-                    following.shaken_at.set(Some(Instant::now()));
-                    self.await_new_reading("directory", failures).await;
+                    following.disrupted_at.set(Some(Instant::now()));
+                    self.wait_before_full_read("directory", failures).await;
                 }
                 Err(error) => {
-                    following.shaken_at.set(Some(Instant::now()));
-                    self.note_failure("directory", error, failures);
+                    following.disrupted_at.set(Some(Instant::now()));
+                    self.report_failure("directory", error, failures);
                     failures += 1;
-                    self.await_retry(failures).await;
+                    self.wait_before_retry(failures).await;
                 }
             }
             self.state.forget_lapsed(Instant::now());
         }
     }
 
-    /// Waits until the directory is to be read again: where another VM follows it for this one,
-    /// until it tells of changes that did not come.
-    async fn await_directory_turn(&self, read_at: Instant) {
+    /// Waits until the directory has to be read again. While another VM follows the log for this
+    /// one, that is once it advertises changes which this VM did not receive.
+    async fn wait_for_next_directory_read(&self, read_at: Instant) {
         let following = &self.state.following;
-        let is_news = |told: Readings| {
+        let has_update = |advertised: Readings| {
             let end = following.directory_end.get();
-            let has_missed = end.is_none_or(|end| told.directory.news > end);
+            let has_missed = end.is_none_or(|end| advertised.directory.news > end);
             if !has_missed {
-                // Nothing that matters comes before the place up to which it has read.
+                // No change that matters precedes the offset up to which the other VM has read.
                 following
                     .directory_end
-                    .set(end.max(Some(told.directory_end)));
+                    .set(end.max(Some(advertised.directory_end)));
             }
             has_missed
         };
-        self.await_turn(read_at, DIRECTORY_INTERVAL, is_news).await;
+        self.wait_for_next_read(read_at, DIRECTORY_INTERVAL, has_update)
+            .await;
     }
 
-    /// Waits for the next reading: for `interval` at least, and where another VM follows the log
-    /// for this one, until it tells of news or much time has passed.
-    async fn await_turn(
+    /// Waits until the next read is due: for `interval` at least and, while another VM follows the
+    /// log for this one, until it advertises changes or [`BACKGROUND_INTERVAL`] has passed.
+    async fn wait_for_next_read(
         &self,
         read_at: Instant,
         interval: Duration,
-        is_news: impl Fn(Readings) -> bool,
+        has_update: impl Fn(Readings) -> bool,
     ) {
-        // A log that is behind what was told is not asked again at once.
-        let told = self.state.told_news(Instant::now());
-        let is_behind = told.is_some_and(&is_news);
+        // If the log is behind the advertised offset, another read at once would return no more.
+        let advertised = self.state.told_news(Instant::now());
+        let is_behind = advertised.is_some_and(&has_update);
         let interval = if is_behind { BEHIND_INTERVAL } else { interval };
         compio::time::sleep_until(read_at + interval).await;
-        while read_at.elapsed() < SELDOM_INTERVAL {
+        while read_at.elapsed() < BACKGROUND_INTERVAL {
             self.state.forget_lapsed(Instant::now());
             match self.state.told_news(Instant::now()) {
-                Some(told) if !is_news(told) => compio::time::sleep(NEWS_POLL).await,
+                Some(reads) if !has_update(reads) => compio::time::sleep(UPDATE_POLL).await,
                 _ => return,
             }
         }
     }
 
-    /// Takes a reading over that began at `from`, or was whole; passes on what the zone must know
-    /// if this VM follows the directory for it.
-    fn take(&self, mut changes: Changes<ServerChange>, from: Option<u64>) {
+    /// Applies a read of the directory that started at offset `from`, or a full read if that is
+    /// `None`. If this VM follows the log for its zone, forwards the relevant changes.
+    fn apply_read(&self, mut changes: Changes<ServerChange>, from: Option<u64>) {
         let now = Instant::now();
         let next = changes.next;
         if from.is_none() {
-            changes.items.extend(self.unlisted(&changes.items));
+            changes.items.extend(self.removed_servers(&changes.items));
         }
-        let (told, has_news) = self.state.take_directory(changes, now);
+        let (relevant, has_news) = self.state.take_directory(changes, now);
         let following = &self.state.following;
         following.directory_end.set(Some(next));
         let before = following.directory.get();
         let news = match before {
-            Some(before) if told.is_empty() => before.news,
+            Some(before) if relevant.is_empty() => before.news,
             _ => next,
         };
         following.directory.set(Some(Reading { news, at: now }));
         if !self.state.follows_closely(now) {
-            following.told_to.set(None);
+            following.sent_to.set(None);
             return;
         }
-        let told_to = following.told_to.get().or(from);
-        if told.is_empty() {
-            following.told_to.set(told_to);
+        let sent_to = following.sent_to.get().or(from);
+        if relevant.is_empty() {
+            following.sent_to.set(sent_to);
             return;
         }
-        following.told_to.set(Some(next));
+        following.sent_to.set(Some(next));
         let is_shaken = following.is_shaken(now);
-        let news = told_to.and_then(|from| news_of(&told, from, next, is_shaken));
+        let messages = sent_to.and_then(|from| update_messages(&relevant, from, next, is_shaken));
         info!(
-            changes = told.len(),
+            changes = relevant.len(),
             has_news,
             next,
-            is_told = news.is_some(),
+            is_told = messages.is_some(),
             "directory changed"
         );
-        self.state.peers.tell_news(news.unwrap_or_default());
+        self.state.peers.tell_news(messages.unwrap_or_default());
     }
 
-    /// Servers that a whole reading did not bring.
-    fn unlisted(&self, here: &[ServerChange]) -> Vec<ServerChange> {
-        let ids: HashSet<&Name> = here
+    /// Removals of the known servers that a full read did not return.
+    fn removed_servers(&self, listed: &[ServerChange]) -> Vec<ServerChange> {
+        let ids: HashSet<&Name> = listed
             .iter()
             .filter_map(|change| match change {
                 ServerChange::Here(entry) => Some(&entry.id),
@@ -231,39 +234,42 @@
             })
             .collect();
         let servers = self.state.fleet.servers().into_iter();
-        let gone = servers.filter(|server| !ids.contains(&server.id) && !server.is_lapsed());
-        gone.map(|server| ServerChange::Gone(server.id.clone()))
+        let removed = servers.filter(|server| !ids.contains(&server.id) && !server.is_lapsed());
+        removed
+            .map(|server| ServerChange::Gone(server.id.clone()))
             .collect()
     }
 
-    /// Waits for the reading of all that is newest, after the log has dropped what was next.
-    async fn await_new_reading(&self, what: &'static str, failures: u32) {
-        self.note_failure(what, StoreError::Compacted, failures);
+    /// Waits for a random time before a full read, after the log dropped the next records.
+    async fn wait_before_full_read(&self, what: &'static str, failures: u32) {
+        self.report_failure(what, StoreError::Compacted, failures);
         compio::time::sleep(COMPACTED_PAUSE.mul_f64(rand::random())).await;
     }
 
-    /// Waits after a failed read. While nobody in the zone reads the log, a few VMs of it ask on
-    /// and the others wait to hear of it from them.
-    async fn await_retry(&self, failures: u32) {
+    /// Waits after a failed read. While no VM of the zone can read the log, only the leader and the
+    /// first [`MAX_RETRYING_VMS`] VMs of the zone by address retry after the usual pause. The
+    /// others wait until one of those advertises a read, for at most [`MAX_OTHERS_PAUSE`].
+    async fn wait_before_retry(&self, failures: u32) {
         let failed_at = Instant::now();
         compio::time::sleep(retry_pause(failures, self.state.is_ready())).await;
-        let leaves_it = || self.state.fence.get() == 0 && self.state.zone_rank() >= ASKERS;
-        while leaves_it() && failed_at.elapsed() < OTHERS_PAUSE {
+        let waits_for_others =
+            || self.state.fence.get() == 0 && self.state.zone_rank() >= MAX_RETRYING_VMS;
+        while waits_for_others() && failed_at.elapsed() < MAX_OTHERS_PAUSE {
             if self.state.told_news(Instant::now()).is_some() {
                 return;
             }
-            compio::time::sleep(NEWS_POLL).await;
+            compio::time::sleep(UPDATE_POLL).await;
         }
     }
 
-    fn note_failure(&self, what: &'static str, error: StoreError, failures: u32) {
+    fn report_failure(&self, what: &'static str, error: StoreError, failures: u32) {
         if failures == 0 {
             warn!(what, ?error, "log not read");
         }
     }
 }
 
-/// The pause after so many failed reads in a row.
+/// Pause after `failures` failed reads in a row; it grows only if the VM is ready.
 pub(crate) fn retry_pause(failures: u32, is_ready: bool) -> Duration {
     if is_ready {
         (RETRY_PAUSE * failures.clamp(1, 4)).min(MAX_RETRY_PAUSE)
