--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -1,8 +1,8 @@
-//! Sending the datagrams between VMs.
+//! Sends the gossip datagrams between VMs.
 //!
-//! A digest stands for itself and a later one replaces it, so that a lost one costs only its
-//! age. Messages about prompts add up at their receivers; what a lost one would have added is
-//! soon read and past.
+//! Each digest is complete and replaces the one before, so a lost datagram only leaves the receiver
+//! with older data. Prompt messages add to the receiver's counts instead; if one is lost, the count
+//! is too low only until the runner has prefilled that prompt.
 
 use crate::gateway::fleet::Incarnation;
 use crate::gateway::gossip_message::{Digest, ToldTally, zones_of};
@@ -22,50 +22,51 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// The time between two messages to each peer: load on a runner changes by a few requests
-/// in it, since a stream lasts seconds.
+/// Length of a gossip round. Streams last for seconds, so the load on a runner changes by only a
+/// few requests in one round.
 pub(super) const INTERVAL: Duration = Duration::from_millis(200);
-/// The shortest time between a message and one that is sent out of turn.
+/// Minimum time between a message and one that is sent before the next round is due.
 const MIN_INTERVAL: Duration = Duration::from_millis(20);
-/// The pause between two messages of prompts for each VM they go to: a few milliseconds for
-/// ten VMs, well below what a runner reads a prompt in, and 1,000 datagrams a second and VM
-/// at most however many there are.
-const PROMPTS_PAUSE_A_PEER: Duration = Duration::from_millis(1);
-/// Demands that one message tells of at most, some 30 bytes each: they fit one datagram.
+/// Pause after a prompt message, for each VM that it was sent to. With ten VMs that is a few ms,
+/// well below the prefill time of a prompt, and it limits a VM to 1,000 prompt datagrams per second
+/// in a fleet of any size.
+const PROMPTS_PAUSE_PER_PEER: Duration = Duration::from_millis(1);
+/// Maximum number of demands in a message. At about 30 bytes each they fit into one datagram.
 const MAX_DEMANDS: usize = 35;
-/// Prompts that one message tells of at most, some 30 bytes each: they fit one datagram.
+/// Maximum number of prompts in a message. At about 30 bytes each they fit into one datagram.
 const MAX_PROMPTS: usize = 40;
-/// VMs that one message tells of where all are asked for, 25 bytes each: they fit one datagram.
+/// Maximum number of VMs in a message that answers a request for all known VMs. At 25 bytes each
+/// they fit into one datagram.
 const MAX_VMS: usize = 45;
-/// The shortest time between two answers with all VMs: those of the members that the log lists
-/// are asked for by the whole fleet at its start.
-const TELL_ALL_INTERVAL: Duration = Duration::from_millis(100);
-/// The time between two messages to VMs that were lost.
+/// Minimum time between two answers that list all VMs. When a fleet starts, all its VMs request the
+/// list from the few members in the log.
+const ALL_VMS_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two messages to VMs that were lost.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Sends and receives this VM's messages.
+/// Gossip endpoint of this VM: the UDP socket and the state of the messages sent through it.
 pub(crate) struct Gossip {
     pub(super) state: Rc<State>,
     pub(super) socket: UdpSocket,
     pub(super) boot: u64,
-    /// What peers were told that runners hold.
-    pub(super) told: RefCell<HashMap<Incarnation, Told>>,
-    /// What other zones are told of this one's load.
-    pub(super) zone_telling: RefCell<ZoneTelling>,
-    /// Counts the tellings of the demand.
+    /// Holdings of each runner, as last sent to peers.
+    pub(super) sent_holdings: RefCell<HashMap<Incarnation, Told>>,
+    /// Selects which of this zone's loads are sent to other zones.
+    pub(super) sent_zone_loads: RefCell<ZoneTelling>,
+    /// Sequence number of the last demand report.
     demand_turn: Cell<u32>,
-    /// Counts the turns, for the part of the VMs that is spoken to.
-    turn: Cell<usize>,
-    /// When another VM was last told all VMs.
-    told_all_at: Cell<Option<Instant>>,
+    /// Number of the next round, which selects the part of the VMs that it sends to.
+    round: Cell<usize>,
+    /// When all known VMs were last sent to a peer.
+    all_vms_sent_at: Cell<Option<Instant>>,
 }
 
 impl Gossip {
-    /// Binds the address at which peers' messages arrive.
+    /// Binds the UDP socket on which peers' messages arrive.
     ///
     /// # Errors
     ///
-    /// Fails when the address is taken.
+    /// Returns an error if the address cannot be bound, for example because it is in use.
     pub(crate) async fn bind(state: Rc<State>) -> io::Result<Rc<Self>> {
         let socket = UdpSocket::bind(state.settings.peer_address).await?;
         let boot = rand::random();
@@ -73,37 +74,39 @@
             state,
             socket,
             boot,
-            told: RefCell::default(),
-            zone_telling: RefCell::default(),
+            sent_holdings: RefCell::default(),
+            sent_zone_loads: RefCell::default(),
             demand_turn: Cell::new(0),
-            // Others begin elsewhere, so that a VM hears of another zone in each turn.
-            turn: Cell::new(usize::from(rand::random::<u16>())),
-            told_all_at: Cell::new(None),
+            // VMs start at different round numbers, so a VM receives messages from other zones in
+            // every round.
+            round: Cell::new(usize::from(rand::random::<u16>())),
+            all_vms_sent_at: Cell::new(None),
         }))
     }
 
-    /// Sends messages until the process ends.
+    /// Runs gossip rounds until the process ends, and sends urgent changes before the next round.
     pub(crate) async fn send(self: Rc<Self>) {
         let zone = &self.state.settings.availability_zone;
-        let mut next_turn = Instant::now();
-        let mut next_probe = next_turn + PROBE_INTERVAL;
+        let mut next_round = Instant::now();
+        let mut next_probe = next_round + PROBE_INTERVAL;
         loop {
             let urgent = self.state.peers.urgent_wait();
             let now = Instant::now();
             let targets = self.state.peers.targets(zone);
             let urgency = self.state.peers.take_urgency();
-            // Large fleets learn of holdings in turn: telling each change to all at once is more
-            // than a small VM's link carries.
+            // In a large fleet, holdings are spread over several rounds: sending each change to all
+            // VMs at once exceeds the bandwidth of a small VM.
             let is_all = match urgency {
                 Urgency::All => true,
                 Urgency::Holdings => targets.far_turns() == 1,
                 Urgency::Zone | Urgency::Holder | Urgency::None => false,
             };
-            self.send_news(&targets.near).await;
-            if now >= next_turn || is_all {
-                next_turn = now + INTERVAL;
-                // A VM that gives orders is listened for everywhere.
-                self.send_turn(&targets, is_all || self.state.fence.get() > 0)
+            self.send_directory_updates(&targets.near).await;
+            if now >= next_round || is_all {
+                next_round = now + INTERVAL;
+                // All VMs watch for the leader's messages, so the leader sends to all in each
+                // round.
+                self.send_round(&targets, is_all || self.state.fence.get() > 0)
                     .await;
                 if now >= next_probe {
                     next_probe = now + PROBE_INTERVAL;
@@ -115,86 +118,93 @@
                 self.send_demand().await;
             }
             compio::time::sleep(MIN_INTERVAL).await;
-            let rest = next_turn.saturating_duration_since(Instant::now());
-            // Either a change or the end of the interval begins the next turn.
-            let _ = compio::time::timeout(rest, urgent).await;
+            let remaining = next_round.saturating_duration_since(Instant::now());
+            // Either an urgent change or the end of the interval starts the next iteration.
+            let _ = compio::time::timeout(remaining, urgent).await;
             let now = Instant::now();
             self.state.peers.forget_silent(now);
             self.state.ledger.borrow_mut().forget(now);
         }
     }
 
-    /// Tells each VM what it needs: those in the own zone this VM's load, those in another one, where
-    /// they are many, the load of the whole zone, and the VM that gives orders the demand.
-    async fn send_turn(&self, targets: &Targets, is_to_all: bool) {
+    /// Sends the messages of one round.
+    ///
+    /// VMs in the local zone get this VM's load. VMs in remote zones get the same in a small fleet
+    /// and the load of the whole zone in a large one. The leader gets the demand at this VM.
+    async fn send_round(&self, targets: &Targets, is_to_all: bool) {
         let now = Instant::now();
         let digest = self.digest();
         let holdings = self.holdings_messages();
-        let asked = self.state.peers.take_ask(now);
-        if let Some(asked) = asked {
-            let ask = Digest {
+        let asked_peer = self.state.peers.take_ask(now);
+        if let Some(asked_peer) = asked_peer {
+            let request = Digest {
                 asks_vms: true,
                 ..digest.clone()
             };
-            self.send_to(&ask, &[asked]).await;
+            self.send_to(&request, &[asked_peer]).await;
         }
         let sample = self.state.peers.sample(targets.vms_a_message());
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
+        let round = self.round.get();
+        self.round.set(round.wrapping_add(1));
         let next_in = INTERVAL * targets.near_turns() as u32;
-        let own = self.tallies(|ledger| ledger.own_tally(now));
-        let near = Digest {
+        let own_tallies = self.tallies(|ledger| ledger.own_tally(now));
+        let local_digest = Digest {
             vms: zones_of(&sample, now),
             next_in_ms: next_in.as_millis() as u32,
-            tally: own.first().cloned(),
+            tally: own_tallies.first().cloned(),
             ..digest.clone()
         };
-        // Whoever follows the log is listened for in its zone.
+        // The rest of the zone relies on the VM that follows the log, so it sends to all of them.
         let is_to_zone = is_to_all || digest.followed.is_some();
-        let in_turn = match is_to_zone {
+        let local_targets = match is_to_zone {
             true => targets.near.clone(),
-            false => targets.near_part(turn),
+            false => targets.near_part(round),
         };
-        self.send_to(&near, &in_turn).await;
-        self.send_tallies(own.get(1..).unwrap_or_default(), next_in, &in_turn)
-            .await;
+        self.send_to(&local_digest, &local_targets).await;
+        self.send_tallies(
+            own_tallies.get(1..).unwrap_or_default(),
+            next_in,
+            &local_targets,
+        )
+        .await;
         for message in &holdings {
             self.send_to(message, &targets.near).await;
         }
         self.send_demand().await;
-        let mut far: Vec<SocketAddr> = Vec::new();
+        let mut remote_targets: Vec<SocketAddr> = Vec::new();
         match is_to_all {
-            true => far.extend(targets.far.values().flatten()),
-            false => far.extend(targets.far_part(turn).flat_map(|(_, part)| part)),
+            true => remote_targets.extend(targets.far.values().flatten()),
+            false => remote_targets.extend(targets.far_part(round).flat_map(|(_, part)| part)),
         }
-        let far_turns = targets.far_turns();
-        let mut to_far = Digest {
-            next_in_ms: (INTERVAL * far_turns as u32).as_millis() as u32,
+        let remote_rounds = targets.far_turns();
+        let mut remote_digest = Digest {
+            next_in_ms: (INTERVAL * remote_rounds as u32).as_millis() as u32,
             ..digest
         };
-        if far_turns > 1 {
-            to_far.loads.clear();
-            to_far.zone_loads = Some(self.zone_loads(targets, turn));
-            if turn.is_multiple_of(far_turns) {
+        if remote_rounds > 1 {
+            remote_digest.loads.clear();
+            remote_digest.zone_loads = Some(self.zone_loads(targets, round));
+            if round.is_multiple_of(remote_rounds) {
                 self.send_loads().await;
             }
         }
-        self.send_far(to_far, &holdings, &far).await;
+        self.send_remote(remote_digest, &holdings, &remote_targets)
+            .await;
     }
 
-    /// Tells VMs in other zones.
-    async fn send_far(&self, mut digest: Digest, holdings: &[Digest], far: &[SocketAddr]) {
+    /// Sends the digest, the zone's tallies and the holdings to VMs in other zones.
+    async fn send_remote(&self, mut digest: Digest, holdings: &[Digest], targets: &[SocketAddr]) {
         let tallies = self.tallies(|ledger| ledger.zone_tally(Instant::now()));
         digest.tally = tallies.first().cloned();
-        self.send_to(&digest, far).await;
-        self.send_tallies(tallies.get(1..).unwrap_or_default(), INTERVAL, far)
+        self.send_to(&digest, targets).await;
+        self.send_tallies(tallies.get(1..).unwrap_or_default(), INTERVAL, targets)
             .await;
         for message in holdings {
-            self.send_to(message, far).await;
+            self.send_to(message, targets).await;
         }
     }
 
-    /// Tells what found no place in the messages before.
+    /// Sends the tallies that did not fit into the digest.
     async fn send_tallies(&self, tallies: &[ToldTally], next_in: Duration, targets: &[SocketAddr]) {
         for tally in tallies {
             let message = Digest {
@@ -209,34 +219,34 @@
         }
     }
 
-    /// Passes changes of the directory on.
-    async fn send_news(&self, near: &[SocketAddr]) {
-        for news in self.state.peers.take_news() {
+    /// Sends pending directory updates to the local zone.
+    async fn send_directory_updates(&self, targets: &[SocketAddr]) {
+        for update in self.state.peers.take_news() {
             let message = Digest {
                 boot: self.boot,
                 is_partial: true,
-                directory: Some(news),
+                directory: Some(update),
                 ..Digest::default()
             };
-            self.send_to(&message, near).await;
+            self.send_to(&message, targets).await;
         }
     }
 
-    /// Speaks to a VM that was lost: it may be back after a partition.
+    /// Sends the digest to a VM that was lost, since it may be reachable again after a partition.
     async fn probe(&self) {
         if let Some(lost) = self.state.peers.lost_one() {
             self.send_to(&self.digest(), &[lost]).await;
         }
     }
 
-    /// Tells a VM of all others that are known, unless another one was told a moment ago.
-    pub(super) async fn tell_all(&self, asker: SocketAddr) {
+    /// Sends all known VMs to `target`, unless a peer got them less than [`ALL_VMS_INTERVAL`] ago.
+    pub(super) async fn send_all_vms(&self, target: SocketAddr) {
         let now = Instant::now();
-        let told_at = self.told_all_at.get();
-        if told_at.is_some_and(|at| now.duration_since(at) < TELL_ALL_INTERVAL) {
+        let sent_at = self.all_vms_sent_at.get();
+        if sent_at.is_some_and(|at| now.duration_since(at) < ALL_VMS_INTERVAL) {
             return;
         }
-        self.told_all_at.set(Some(now));
+        self.all_vms_sent_at.set(Some(now));
         for sightings in self.state.peers.sightings().chunks(MAX_VMS) {
             let message = Digest {
                 boot: self.boot,
@@ -244,14 +254,14 @@
                 vms: zones_of(sightings, now),
                 ..Digest::default()
             };
-            self.send_to(&message, &[asker]).await;
+            self.send_to(&message, &[target]).await;
         }
     }
 
-    /// Tells the VM that gives orders this VM's load by model, where messages to other zones leave it
-    /// out.
+    /// Sends this VM's load by model to the leader. In a large fleet the digests to other zones
+    /// leave it out.
     async fn send_loads(&self) {
-        let Some(holder) = self.state.peers.holder() else {
+        let Some(leader) = self.state.peers.holder() else {
             return;
         };
         let message = Digest {
@@ -261,18 +271,18 @@
             loads: self.loads(),
             ..Digest::default()
         };
-        self.send_to(&message, &[holder]).await;
+        self.send_to(&message, &[leader]).await;
     }
 
-    /// Tells the VM that gives orders what is wanted here.
+    /// Sends the demand at this VM to the leader.
     async fn send_demand(&self) {
-        let Some(holder) = self.state.peers.holder() else {
+        let Some(leader) = self.state.peers.holder() else {
             return;
         };
         let mut demands = self.demands();
         let demand_turn = self.demand_turn.get().wrapping_add(1);
         self.demand_turn.set(demand_turn);
-        // A demand that has ended is told as well: an empty list stands for it.
+        // An empty list is sent as well: it reports that the demand has ended.
         loop {
             let rest = demands.split_off(demands.len().min(MAX_DEMANDS));
             let message = Digest {
@@ -284,7 +294,7 @@
                 demands,
                 ..Digest::default()
             };
-            self.send_to(&message, &[holder]).await;
+            self.send_to(&message, &[leader]).await;
             if rest.is_empty() {
                 return;
             }
@@ -292,18 +302,19 @@
         }
     }
 
-    /// Tells peers of prompts as they are sent to runners, until the process ends. In a large zone
-    /// each VM sends few to any one runner, and telling all VMs of each would be most of their
-    /// messages.
+    /// Reports prompts to peers as they are sent to runners, until the process ends.
+    ///
+    /// Large zones do without these messages: each VM sends few prompts to any one runner, and
+    /// reporting each to all VMs would make up most of the traffic.
     pub(crate) async fn send_prompts(self: Rc<Self>) {
         loop {
-            let sent = self.state.peers.prompts_wait();
+            let prompt_added = self.state.peers.prompts_wait();
             let prompts = self
                 .state
                 .peers
                 .take_untold_prompts(MAX_PROMPTS, Instant::now());
             if prompts.is_empty() {
-                sent.await;
+                prompt_added.await;
                 continue;
             }
             let zone = &self.state.settings.availability_zone;
@@ -318,15 +329,16 @@
                 ..Digest::default()
             };
             self.send_to(&message, &targets.near).await;
-            let mut told = targets.near.len();
-            // Where messages to other zones come seldom, prompts would be told too late.
+            let mut receivers = targets.near.len();
+            // If a message to each VM of the other zones takes several rounds, prompts would arrive
+            // too late.
             if targets.far_turns() == 1 {
-                for far in targets.far.values() {
-                    self.send_to(&message, far).await;
-                    told += far.len();
+                for vms in targets.far.values() {
+                    self.send_to(&message, vms).await;
+                    receivers += vms.len();
                 }
             }
-            compio::time::sleep(PROMPTS_PAUSE_A_PEER * told as u32).await;
+            compio::time::sleep(PROMPTS_PAUSE_PER_PEER * receivers as u32).await;
         }
     }
 
--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -1,4 +1,5 @@
-//! Receiving the datagrams between VMs: what each of them says is taken over by whom it concerns.
+//! Receives the gossip datagrams between VMs and applies each part of a message to the state that
+//! it concerns.
 
 use crate::gateway::fleet::Incarnation;
 use crate::gateway::gossip::Gossip;
@@ -11,31 +12,32 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// The pause after a failed receipt.
+/// Pause after a failed receive call.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(50);
-/// The largest message that is received.
+/// Maximum size of a received message, in bytes.
 const RECEIVE_BYTES: usize = 64 * 1024;
 
 impl Gossip {
-    /// Receives messages until the process ends.
+    /// Receives and applies messages until the process ends.
     pub(crate) async fn receive(self: Rc<Self>) {
         loop {
             let buffer = Vec::with_capacity(RECEIVE_BYTES);
             let BufResult(received, buffer) = self.socket.recv_from(buffer).await;
             match received {
                 Ok((_, sender)) => {
-                    if self.take(sender, &buffer) {
-                        self.tell_all(sender).await;
+                    if self.apply(sender, &buffer) {
+                        self.send_all_vms(sender).await;
                     }
                 }
-                // A peer that is gone makes the next receipt fail; nothing was lost.
+                // Sending to a peer that is gone makes the next receive call fail; no message is
+                // lost.
                 Err(_) => compio::time::sleep(RECEIVE_PAUSE).await,
             }
         }
     }
 
-    /// Takes a message over; tells whether it asks for all VMs.
-    fn take(&self, sender: SocketAddr, bytes: &[u8]) -> bool {
+    /// Applies a message; returns whether the sender requests the list of all VMs.
+    fn apply(&self, sender: SocketAddr, bytes: &[u8]) -> bool {
         let digest = match Digest::decode(bytes) {
             Ok(digest) => digest,
             Err(error) => {
@@ -47,15 +49,20 @@
         for crash in &digest.crashes {
             let suspects = &self.state.suspects;
             if suspects.note_crashes(crash.fingerprint, crash.crashes, now) {
-                info!(peer = %sender, fingerprint = crash.fingerprint, crashes = crash.crashes, "crash report received");
+                info!(
+                    peer = %sender,
+                    fingerprint = crash.fingerprint,
+                    crashes = crash.crashes,
+                    "crash report received"
+                );
             }
         }
-        if let Some(news) = digest.directory.clone() {
-            self.state.take_directory_news(news, now);
+        if let Some(update) = digest.directory.clone() {
+            self.state.take_directory_news(update, now);
         }
-        self.take_holdings(&digest, now);
-        self.take_prompts(sender, &digest, now);
-        self.take_tally(sender, &digest, now);
+        self.apply_holdings(&digest, now);
+        self.apply_prompts(sender, &digest, now);
+        self.apply_tally(sender, &digest, now);
         if digest.has_loads {
             self.state.peers.take_loads(sender, &digest);
         }
@@ -69,43 +76,43 @@
         digest.asks_vms
     }
 
-    fn take_tally(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
-        let Some(told) = &digest.tally else {
+    fn apply_tally(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
+        let Some(message) = &digest.tally else {
             return;
         };
         let zone = digest.availability_zone.as_str();
         let mut ledger = self.state.ledger.borrow_mut();
         if zone == self.state.settings.availability_zone {
             let next_in = Duration::from_millis(u64::from(digest.next_in_ms));
-            ledger.take_near(sender, told.tally(), next_in, now);
+            ledger.take_near(sender, message.tally(), next_in, now);
         } else {
-            ledger.take_far(&zone.into(), told.tally(), now);
+            ledger.take_far(&zone.into(), message.tally(), now);
         }
     }
 
-    fn take_prompts(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
+    fn apply_prompts(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
         self.state.peers.take_prompts(sender, &digest.prompts);
         for prompt in &digest.prompts {
             if let Some(server) = self.state.fleet.server(&prompt.server) {
-                let read_ms = f64::from(prompt.read_us) / MICROS_PER_MILLI;
-                server.backlog.note(read_ms, now);
+                let prefill_ms = f64::from(prompt.read_us) / MICROS_PER_MILLI;
+                server.backlog.note(prefill_ms, now);
             }
         }
     }
 
-    fn take_holdings(&self, digest: &Digest, now: Instant) {
+    fn apply_holdings(&self, digest: &Digest, now: Instant) {
         if digest.holdings.is_empty() {
             return;
         }
-        for told in &digest.holdings {
+        for runner in &digest.holdings {
             let run = Incarnation {
-                id: told.server.as_str().into(),
-                started_ms: told.started_ms,
+                id: runner.server.as_str().into(),
+                started_ms: runner.started_ms,
             };
             let Some(server) = self.state.fleet.run(&run) else {
                 continue;
             };
-            let models = told.models.iter();
+            let models = runner.models.iter();
             let holdings = models.map(|it| holding(&it.model, it.version, &it.adapters));
             server.note_leader_view(holdings.collect(), now);
         }
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -80,7 +80,7 @@
             (short_id(&server.id), server.in_flight() + others)
         });
         let told_every = INTERVAL * targets.far_turns() as u32;
-        let part = self.zone_telling.borrow_mut().part(
+        let part = self.sent_zone_loads.borrow_mut().part(
             sums.collect(),
             turn,
             told_every,
@@ -187,13 +187,13 @@
     fn due_holdings(&self) -> Vec<ServerHoldings> {
         let now = Instant::now();
         let view = self.state.leader_view.borrow();
-        let mut told = self.told.borrow_mut();
-        if told.len() > view.len() {
+        let mut sent_holdings = self.sent_holdings.borrow_mut();
+        if sent_holdings.len() > view.len() {
             let runs: HashSet<&Incarnation> = view.iter().map(|(run, _)| run).collect();
-            told.retain(|run, _| runs.contains(run));
+            sent_holdings.retain(|run, _| runs.contains(run));
         }
         let due = view.iter().filter(|(run, holdings)| {
-            let known = told
+            let known = sent_holdings
                 .entry(run.clone())
                 .or_insert_with(|| Told::new(holdings, now));
             known.note(holdings, now);
