--- a/src/gateway/directory_updates.rs
+++ b/src/gateway/directory_updates.rs
@@ -75,12 +75,12 @@
     fn from_change(change: &ServerChange) -> Self {
         let strings = |names: &[Name]| names.iter().map(Name::to_string).collect();
         match change {
-            ServerChange::Gone(id) => Self {
+            ServerChange::Removed(id) => Self {
                 id: id.to_string(),
                 is_gone: true,
                 ..Self::default()
             },
-            ServerChange::Here(entry) => Self {
+            ServerChange::Upserted(entry) => Self {
                 id: entry.id.to_string(),
                 is_gone: false,
                 started_ms: entry.started_ms,
@@ -102,14 +102,14 @@
         let names = |names: Vec<String>| names.into_iter().map(Name::from).collect();
         let id = Name::from(self.id);
         if self.is_gone {
-            return Some(ServerChange::Gone(id));
+            return Some(ServerChange::Removed(id));
         }
         let state = match self.is_draining {
             true => ServerState::Draining,
             false => ServerState::Ready,
         };
         let holdings = self.holdings.iter();
-        Some(ServerChange::Here(Entry {
+        Some(ServerChange::Upserted(Entry {
             id,
             started_ms: self.started_ms,
             sequence: self.sequence,
--- a/src/gateway/election.rs
+++ b/src/gateway/election.rs
@@ -116,7 +116,7 @@
     fn is_wanted(&self, now: Instant) -> bool {
         let peers = &self.state.peers;
         let has_other_holder = peers.highest_fence().is_some();
-        self.ordering.is_holder() || !has_other_holder || peers.is_member_wanted(now)
+        self.ordering.is_holder() || !has_other_holder || peers.should_join_group(now)
     }
 
     async fn take_membership(&self, membership: Membership, asked_at: Instant) {
@@ -145,7 +145,7 @@
                 let others = members.names.iter().filter(|name| **name != self.member);
                 let others = others.filter_map(|name| name.parse::<SocketAddr>().ok());
                 let peers = &self.state.peers;
-                peers.set_members(others.collect(), members.is_all);
+                peers.set_members(others.collect(), members.is_complete);
             }
             Err(error) => {
                 warn!(?error, "members not read");
@@ -226,8 +226,8 @@
         // or told that it gives up, or there was nobody.
         let heard_at = self.holder_heard_at.get();
         let is_abrupt = heard_at.is_some_and(|at| at.elapsed() < self.ttl());
-        let has_released = self.state.peers.has_released();
-        let waits = is_abrupt && !has_released;
+        let leadership_released = self.state.peers.leadership_released();
+        let waits = is_abrupt && !leadership_released;
         info!(fence, waits, "orders claimed");
         self.begun_at.set(waits.then(Instant::now));
         self.checked_at.set(Some(Instant::now()));
@@ -244,7 +244,7 @@
             return;
         }
         self.checked_at.set(Some(Instant::now()));
-        match self.store.has_successor(fence).await {
+        match self.store.has_later_claim(fence).await {
             Ok(true) => self.stop(),
             Ok(false) => self.is_unchecked.set(false),
             // Asked again at the next turn, unless the log is away.
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -5,12 +5,12 @@
 //! is too low only until the runner has prefilled that prompt.
 
 use crate::gateway::fleet::Incarnation;
-use crate::gateway::gossip_message::{Digest, ToldTally, zones_of};
-use crate::gateway::gossip_sender::Told;
+use crate::gateway::gossip_message::{Digest, TallyPart, zones_of};
+use crate::gateway::gossip_sender::AdvertisedHoldings;
 use crate::gateway::gossip_targets::Targets;
-use crate::gateway::peers::Urgency;
+use crate::gateway::peers::UpdateScope;
 use crate::gateway::state::State;
-use crate::gateway::zone_loads::ZoneTelling;
+use crate::gateway::zone_loads::ZoneLoadSampler;
 use compio::BufResult;
 use compio::net::UdpSocket;
 use prost::Message;
@@ -50,11 +50,11 @@
     pub(super) socket: UdpSocket,
     pub(super) boot: u64,
     /// Holdings of each runner, as last sent to peers.
-    pub(super) sent_holdings: RefCell<HashMap<Incarnation, Told>>,
+    pub(super) sent_holdings: RefCell<HashMap<Incarnation, AdvertisedHoldings>>,
     /// Selects which of this zone's loads are sent to other zones.
-    pub(super) sent_zone_loads: RefCell<ZoneTelling>,
+    pub(super) sent_zone_loads: RefCell<ZoneLoadSampler>,
     /// Sequence number of the last demand report.
-    demand_turn: Cell<u32>,
+    demand_round: Cell<u32>,
     /// Number of the next round, which selects the part of the VMs that it sends to.
     round: Cell<usize>,
     /// When all known VMs were last sent to a peer.
@@ -76,7 +76,7 @@
             boot,
             sent_holdings: RefCell::default(),
             sent_zone_loads: RefCell::default(),
-            demand_turn: Cell::new(0),
+            demand_round: Cell::new(0),
             // VMs start at different round numbers, so a VM receives messages from other zones in
             // every round.
             round: Cell::new(usize::from(rand::random::<u16>())),
@@ -90,16 +90,16 @@
         let mut next_round = Instant::now();
         let mut next_probe = next_round + PROBE_INTERVAL;
         loop {
-            let urgent = self.state.peers.urgent_wait();
+            let urgent = self.state.peers.wait_for_update();
             let now = Instant::now();
             let targets = self.state.peers.targets(zone);
-            let urgency = self.state.peers.take_urgency();
+            let urgency = self.state.peers.take_update_scope();
             // In a large fleet, holdings are spread over several rounds: sending each change to all
             // VMs at once exceeds the bandwidth of a small VM.
             let is_all = match urgency {
-                Urgency::All => true,
-                Urgency::Holdings => targets.far_turns() == 1,
-                Urgency::Zone | Urgency::Holder | Urgency::None => false,
+                UpdateScope::All => true,
+                UpdateScope::Holdings => targets.far_turns() == 1,
+                UpdateScope::Zone | UpdateScope::Leader | UpdateScope::None => false,
             };
             self.send_directory_updates(&targets.near).await;
             if now >= next_round || is_all {
@@ -112,9 +112,9 @@
                     next_probe = now + PROBE_INTERVAL;
                     self.probe().await;
                 }
-            } else if urgency == Urgency::Zone {
+            } else if urgency == UpdateScope::Zone {
                 self.send_to(&self.digest(), &targets.near).await;
-            } else if urgency == Urgency::Holder {
+            } else if urgency == UpdateScope::Leader {
                 self.send_demand().await;
             }
             compio::time::sleep(MIN_INTERVAL).await;
@@ -135,18 +135,18 @@
         let now = Instant::now();
         let digest = self.digest();
         let holdings = self.holdings_messages();
-        let asked_peer = self.state.peers.take_ask(now);
+        let asked_peer = self.state.peers.take_view_request(now);
         if let Some(asked_peer) = asked_peer {
             let request = Digest {
-                asks_vms: true,
+                requests_view: true,
                 ..digest.clone()
             };
             self.send_to(&request, &[asked_peer]).await;
         }
-        let sample = self.state.peers.sample(targets.vms_a_message());
+        let sample = self.state.peers.sample(targets.vms_per_message());
         let round = self.round.get();
         self.round.set(round.wrapping_add(1));
-        let next_in = INTERVAL * targets.near_turns() as u32;
+        let next_in = INTERVAL * targets.local_rounds() as u32;
         let own_tallies = self.tallies(|ledger| ledger.own_tally(now));
         let local_digest = Digest {
             vms: zones_of(&sample, now),
@@ -155,10 +155,10 @@
             ..digest.clone()
         };
         // The rest of the zone relies on the VM that follows the log, so it sends to all of them.
-        let is_to_zone = is_to_all || digest.followed.is_some();
+        let is_to_zone = is_to_all || digest.followed_log.is_some();
         let local_targets = match is_to_zone {
             true => targets.near.clone(),
-            false => targets.near_part(round),
+            false => targets.local_part(round),
         };
         self.send_to(&local_digest, &local_targets).await;
         self.send_tallies(
@@ -174,7 +174,7 @@
         let mut remote_targets: Vec<SocketAddr> = Vec::new();
         match is_to_all {
             true => remote_targets.extend(targets.far.values().flatten()),
-            false => remote_targets.extend(targets.far_part(round).flat_map(|(_, part)| part)),
+            false => remote_targets.extend(targets.remote_part(round).flat_map(|(_, part)| part)),
         }
         let remote_rounds = targets.far_turns();
         let mut remote_digest = Digest {
@@ -205,7 +205,7 @@
     }
 
     /// Sends the tallies that did not fit into the digest.
-    async fn send_tallies(&self, tallies: &[ToldTally], next_in: Duration, targets: &[SocketAddr]) {
+    async fn send_tallies(&self, tallies: &[TallyPart], next_in: Duration, targets: &[SocketAddr]) {
         for tally in tallies {
             let message = Digest {
                 boot: self.boot,
@@ -221,7 +221,7 @@
 
     /// Sends pending directory updates to the local zone.
     async fn send_directory_updates(&self, targets: &[SocketAddr]) {
-        for update in self.state.peers.take_news() {
+        for update in self.state.peers.take_directory_updates() {
             let message = Digest {
                 boot: self.boot,
                 is_partial: true,
@@ -234,7 +234,7 @@
 
     /// Sends the digest to a VM that was lost, since it may be reachable again after a partition.
     async fn probe(&self) {
-        if let Some(lost) = self.state.peers.lost_one() {
+        if let Some(lost) = self.state.peers.random_lost_vm() {
             self.send_to(&self.digest(), &[lost]).await;
         }
     }
@@ -280,16 +280,16 @@
             return;
         };
         let mut demands = self.demands();
-        let demand_turn = self.demand_turn.get().wrapping_add(1);
-        self.demand_turn.set(demand_turn);
+        let demand_round = self.demand_round.get().wrapping_add(1);
+        self.demand_round.set(demand_round);
         // An empty list is sent as well: it reports that the demand has ended.
         loop {
             let rest = demands.split_off(demands.len().min(MAX_DEMANDS));
             let message = Digest {
                 boot: self.boot,
                 is_partial: true,
-                is_demand: true,
-                demand_turn,
+                has_demand: true,
+                demand_round,
                 has_more: !rest.is_empty(),
                 demands,
                 ..Digest::default()
@@ -308,18 +308,18 @@
     /// reporting each to all VMs would make up most of the traffic.
     pub(crate) async fn send_prompts(self: Rc<Self>) {
         loop {
-            let prompt_added = self.state.peers.prompts_wait();
+            let prompt_added = self.state.peers.wait_for_prompts();
             let prompts = self
                 .state
                 .peers
-                .take_untold_prompts(MAX_PROMPTS, Instant::now());
+                .take_unsent_prompts(MAX_PROMPTS, Instant::now());
             if prompts.is_empty() {
                 prompt_added.await;
                 continue;
             }
             let zone = &self.state.settings.availability_zone;
             let targets = self.state.peers.targets(zone);
-            if targets.near_turns() > 1 {
+            if targets.local_rounds() > 1 {
                 continue;
             }
             let message = Digest {
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -5,7 +5,7 @@
 use crate::gateway::fleet::{Holding, Incarnation};
 use crate::gateway::gossip::{Gossip, INTERVAL};
 use crate::gateway::gossip_message::{
-    Digest, Followed, ServerHoldings, ServerRequests, ToldTally, ToldZoneLoads, WeightsDemand,
+    Digest, Followed, ServerHoldings, ServerRequests, TallyPart, ToldZoneLoads, WeightsDemand,
 };
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::log_follower::Reading;
@@ -26,13 +26,13 @@
 
 /// What peers were told that a runner holds.
 #[derive(Debug)]
-pub(super) struct Told {
+pub(super) struct AdvertisedHoldings {
     holdings: Vec<Holding>,
     changed_at: Instant,
     at: Option<Instant>,
 }
 
-impl Told {
+impl AdvertisedHoldings {
     /// What is to be told of a runner that was not told of yet.
     pub(super) fn new(holdings: &[Holding], now: Instant) -> Self {
         Self {
@@ -73,7 +73,7 @@
         let of_others = self
             .state
             .peers
-            .in_flight_of(&self.state.settings.availability_zone);
+            .zone_in_flight(&self.state.settings.availability_zone);
         let servers = self.state.fleet.servers();
         let sums = servers.iter().map(|server| {
             let others = of_others.get(&server.id).copied().unwrap_or(0);
@@ -91,12 +91,12 @@
     }
 
     /// The tellings of a tally; none where there are no organisations.
-    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> Tally) -> Vec<ToldTally> {
+    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> Tally) -> Vec<TallyPart> {
         let configuration = self.state.configuration();
         if configuration.is_none_or(|it| it.organisations.is_none()) {
             return Vec::new();
         }
-        ToldTally::parts(&tally(&mut self.state.ledger.borrow_mut()))
+        TallyPart::parts(&tally(&mut self.state.ledger.borrow_mut()))
     }
 
     /// What runners hold, if this VM gives orders, in as many messages as datagrams need: what
@@ -128,7 +128,7 @@
             is_leaving: state.shutdown.is_leaving(),
             availability_zone: state.settings.availability_zone.to_string(),
             next_in_ms: INTERVAL.as_millis() as u32,
-            followed: self.followed(),
+            followed_log: self.followed_log(),
             loads: self.loads(),
             fence: state.fence.get(),
             crashes: state.peers.crashes(),
@@ -165,7 +165,7 @@
     }
 
     /// What this VM read of the log, if it follows it closely.
-    fn followed(&self) -> Option<Followed> {
+    fn followed_log(&self) -> Option<Followed> {
         let now = Instant::now();
         if !self.state.follows_closely(now) {
             return None;
@@ -195,7 +195,7 @@
         let due = view.iter().filter(|(run, holdings)| {
             let known = sent_holdings
                 .entry(run.clone())
-                .or_insert_with(|| Told::new(holdings, now));
+                .or_insert_with(|| AdvertisedHoldings::new(holdings, now));
             known.note(holdings, now);
             let server = self.state.fleet.run(run);
             let is_listed = server.is_some_and(|server| server.lists(holdings));
--- a/src/gateway/order_dispatch.rs
+++ b/src/gateway/order_dispatch.rs
@@ -1,9 +1,9 @@
 //! The orders that the leading VM gives, and what it knows of the runners by them.
 
 use crate::gateway::fleet::{Incarnation, Server};
-use crate::gateway::load_limit::Ceiling;
+use crate::gateway::load_limit::LoadRateLimit;
 use crate::gateway::order_queue::Chain;
-use crate::gateway::peers::{Urgency, WantedRate};
+use crate::gateway::peers::{DemandRate, UpdateScope};
 use crate::gateway::planning::{Planning, RunnerView, Steps};
 use crate::gateway::runner_state::Tracked;
 use crate::gateway::state::State;
@@ -31,7 +31,7 @@
     pub(super) fence: Cell<Option<u64>>,
     pub(super) is_fenced: Cell<bool>,
     pub(super) tracked: RefCell<BTreeMap<Incarnation, Tracked>>,
-    ceiling: Ceiling,
+    ceiling: LoadRateLimit,
     /// When models were last asked for.
     asked: RefCell<HashMap<Name, Instant>>,
 }
@@ -39,7 +39,7 @@
 impl<R: RunnerControl> Ordering<R> {
     /// Gives no orders yet.
     pub(crate) fn new(state: Rc<State>, runners: R) -> Rc<Self> {
-        let ceiling = Ceiling::new(state.settings.bounds.load_window);
+        let ceiling = LoadRateLimit::new(state.settings.bounds.load_window);
         Rc::new(Self {
             state,
             runners,
@@ -64,13 +64,13 @@
     /// Begins to give orders under a fence; every fence but the first had a holder before.
     pub(crate) fn start(&self, fence: u64) {
         if fence > FIRST_FENCE {
-            self.ceiling.take_over(Instant::now());
+            self.ceiling.note_takeover(Instant::now());
         }
         self.tracked.borrow_mut().clear();
         self.state.metrics.is_leading.set(1);
         self.fence.set(Some(fence));
         self.state.fence.set(fence);
-        self.state.peers.hurry();
+        self.state.peers.trigger_update_to_all();
     }
 
     /// Gives no further order.
@@ -114,7 +114,7 @@
     }
 
     /// The models that were asked for lately.
-    fn asked_lately(&self, demand: &HashMap<Weights, WantedRate>, now: Instant) -> HashSet<Name> {
+    fn asked_lately(&self, demand: &HashMap<Weights, DemandRate>, now: Instant) -> HashSet<Name> {
         let mut asked = self.asked.borrow_mut();
         for weights in demand.keys() {
             asked.insert(weights.model.clone(), now);
@@ -213,7 +213,7 @@
         if has_changed {
             *self.state.leader_view.borrow_mut() = view;
             self.state.changed.notify();
-            self.state.peers.hurry_to(Urgency::Holdings);
+            self.state.peers.trigger_update(UpdateScope::Holdings);
         }
     }
 
--- a/src/gateway/planning.rs
+++ b/src/gateway/planning.rs
@@ -1,6 +1,6 @@
 //! Which runner should hold which model and adapter: models by [`Swaps`], then adapters.
 
-use crate::gateway::peers::WantedRate;
+use crate::gateway::peers::DemandRate;
 use crate::gateway::swaps::Swaps;
 use crate::gateway::{Engine, Model, Weights};
 use crate::inventory::Name;
@@ -69,7 +69,7 @@
     /// The runners.
     pub(crate) runners: &'a [RunnerView],
     /// The demand at all VMs.
-    pub(crate) demand: &'a HashMap<Weights, WantedRate>,
+    pub(crate) demand: &'a HashMap<Weights, DemandRate>,
     /// Models that were asked for lately.
     pub(crate) asked: &'a HashSet<Name>,
     /// Loads from the weight store that may begin now.
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -89,7 +89,7 @@
     let stopped_at = Instant::now();
     info!("stopping");
     state.shutdown.leave();
-    state.peers.hurry();
+    state.peers.trigger_update_to_all();
     leading.leave().await;
     drain(&state, stopped_at).await;
     info!(open = state.shutdown.open(), "stopped");
@@ -105,7 +105,7 @@
             compio::time::sleep(CLEAN_INTERVAL).await;
             let fleet = &cleaned.state.fleet;
             let is_listed = |run: &Incarnation| fleet.run(run).is_some();
-            cleaned.links.clean(is_listed, Instant::now());
+            cleaned.pool.remove_stale(is_listed, Instant::now());
         }
     })
     .detach();
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -16,7 +16,7 @@
 
 fn listed(index: usize) -> ServerChange {
     let names = |count: usize| (0..count).map(|it| Name::from(format!("model-{it}")));
-    ServerChange::Here(Entry {
+    ServerChange::Upserted(Entry {
         id: format!("i-{index}").into(),
         started_ms: 1_000 + index as u64,
         sequence: 5,
@@ -38,7 +38,7 @@
 }
 
 fn changes(count: usize) -> Vec<ServerChange> {
-    let gone = ServerChange::Gone("i-gone".into());
+    let gone = ServerChange::Removed("i-gone".into());
     (0..count).map(listed).chain([gone]).collect()
 }
 
@@ -95,12 +95,12 @@
 fn a_prompt_that_has_been_prefilled_is_not_reported_any_more() {
     let now = Instant::now();
     let peers = Peers::new("10.1.0.1:7380".parse().expect("an address"), now);
-    peers.tell_prompt(&"i-1".into(), 18.0, now);
-    peers.tell_prompt(&"i-2".into(), 50.0, now);
-    let reported = peers.take_untold_prompts(9, now + Duration::from_millis(30));
+    peers.report_prompt(&"i-1".into(), 18.0, now);
+    peers.report_prompt(&"i-2".into(), 50.0, now);
+    let reported = peers.take_unsent_prompts(9, now + Duration::from_millis(30));
     let servers: Vec<&str> = reported.iter().map(|it| it.server.as_str()).collect();
     assert_eq!(servers, ["i-2"]);
-    assert!(peers.take_untold_prompts(9, now).is_empty());
+    assert!(peers.take_unsent_prompts(9, now).is_empty());
 }
 
 /// Applies changes and returns how many of them are forwarded to the zone.
@@ -114,11 +114,11 @@
     let state = state();
     assert_eq!(apply(&state, vec![listed(1)]), 1);
     assert_eq!(apply(&state, vec![listed(1)]), 0);
-    let ServerChange::Here(mut entry) = listed(1) else {
+    let ServerChange::Upserted(mut entry) = listed(1) else {
         panic!("it is an entry");
     };
     entry.holdings.clear();
-    assert_eq!(apply(&state, vec![ServerChange::Here(entry)]), 1);
+    assert_eq!(apply(&state, vec![ServerChange::Upserted(entry)]), 1);
 }
 
 #[test]
@@ -128,5 +128,5 @@
     // This VM alone found another server at the address and dropped the entry.
     state.fleet.lapse("i-1", Instant::now());
     state.forget_lapsed(Instant::now());
-    assert_eq!(apply(&state, vec![ServerChange::Gone("i-1".into())]), 1);
+    assert_eq!(apply(&state, vec![ServerChange::Removed("i-1".into())]), 1);
 }
--- a/src/gateway/tests/log_follower.rs
+++ b/src/gateway/tests/log_follower.rs
@@ -62,7 +62,7 @@
         }
         let rounds = targets.far_turns();
         let messages: Vec<usize> = (0..rounds)
-            .map(|round| targets.far_part(round).map(|(_, vms)| vms.len()).sum())
+            .map(|round| targets.remote_part(round).map(|(_, vms)| vms.len()).sum())
             .collect();
         let total: usize = messages.iter().sum();
         // In these rounds, each VM is sent exactly one message.
--- a/src/gateway/tests/order_dispatch.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -184,7 +184,7 @@
 fn holder(control: &Control) -> (Rc<State>, Rc<Ordering<Control>>) {
     let state = Rc::new(state());
     state.take_configuration(configuration());
-    take(&state, ServerChange::Here(entry()));
+    take(&state, ServerChange::Upserted(entry()));
     let ordering = Ordering::new(state.clone(), control.clone());
     ordering.start(1);
     control.0.borrow_mut().note(Instant::now() - LAG);
@@ -231,12 +231,12 @@
     let _waiting = state.wait_for(&wanted);
     tick(&ordering, 10).await;
     assert_eq!(control.0.borrow().orders, 1, "the drop is under way");
-    take(&state, ServerChange::Gone(SERVER.into()));
+    take(&state, ServerChange::Removed(SERVER.into()));
     state.forget_lapsed(Instant::now());
     assert!(state.fleet.server(SERVER).is_none());
     tick(&ordering, 2).await;
     tick(&ordering, 5).await;
-    take(&state, ServerChange::Here(entry()));
+    take(&state, ServerChange::Upserted(entry()));
     tick(&ordering, 80).await;
     let runner = control.0.borrow();
     assert_eq!(runner.conflicts, 0, "{runner:?}");
--- a/src/gateway/tests/planning.rs
+++ b/src/gateway/tests/planning.rs
@@ -1,6 +1,6 @@
 //! Placement: what a plan asks of a runner always fits it.
 
-use crate::gateway::peers::WantedRate;
+use crate::gateway::peers::DemandRate;
 use crate::gateway::planning::{Planning, RunnerView, Steps};
 use crate::gateway::{Engine, Model, Weights};
 use crate::inventory::Name;
@@ -58,8 +58,8 @@
     }
 }
 
-fn rate(busy_ms_per_s: f64) -> WantedRate {
-    WantedRate {
+fn rate(busy_ms_per_s: f64) -> DemandRate {
+    DemandRate {
         busy_ms_per_s,
         requests_per_s: busy_ms_per_s / MS_A_REQUEST,
         waiting: 0,
@@ -69,7 +69,7 @@
 fn plan(
     engine: &Engine,
     runners: &[RunnerView],
-    demand: &HashMap<Weights, WantedRate>,
+    demand: &HashMap<Weights, DemandRate>,
 ) -> HashMap<Name, Steps> {
     let planning = Planning {
         engine,
@@ -117,10 +117,10 @@
     let mut full = runner("r1", &["m0"]);
     full.adapters = (1..=5).map(|number| adapter("m0", number)).collect();
     // One request waits for a rare adapter; a much busier one is missing as well.
-    let mut demand: HashMap<Weights, WantedRate> = (2..=5)
+    let mut demand: HashMap<Weights, DemandRate> = (2..=5)
         .map(|number| (adapter("m0", number), rate(3_000.0)))
         .collect();
-    let waiting = WantedRate {
+    let waiting = DemandRate {
         waiting: 1,
         ..rate(10.0)
     };
@@ -135,7 +135,7 @@
 fn a_model_that_requests_wait_for_and_no_runner_holds_is_loaded() {
     let engine = engine(0);
     let runners = [runner("r1", &["m0", "m1"]), runner("r2", &["m0", "m1"])];
-    let waiting = WantedRate {
+    let waiting = DemandRate {
         waiting: 1,
         ..rate(100.0)
     };
@@ -219,14 +219,14 @@
                 view
             })
             .collect();
-        let demand: HashMap<Weights, WantedRate> = rates
+        let demand: HashMap<Weights, DemandRate> = rates
             .iter()
             .map(|(of, number, busy_ms_per_s, waiting)| {
                 let weights = match number {
                     0 => model(&name(*of)),
                     number => adapter(&name(*of), *number),
                 };
-                (weights, WantedRate { waiting: *waiting, ..rate(*busy_ms_per_s) })
+                (weights, DemandRate { waiting: *waiting, ..rate(*busy_ms_per_s) })
             })
             .collect();
         let plan = plan(&engine, &runners, &demand);
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::directory_updates::update_messages;
 use crate::gateway::log_follower::{Reading, Readings};
-use crate::gateway::peers::Urgency;
+use crate::gateway::peers::UpdateScope;
 use crate::gateway::state::State;
 use crate::gateway::{Changes, ConfigSource, Directory, ServerChange, StoreError};
 use crate::inventory::Name;
@@ -86,7 +86,7 @@
                     }
                     let is_change = before.is_some_and(|before| before.news < reading.news);
                     if is_change && self.state.follows_closely(reading.at) {
-                        self.state.peers.hurry_to(Urgency::Zone);
+                        self.state.peers.trigger_update(UpdateScope::Zone);
                     }
                     let has_update =
                         |advertised: Readings| advertised.configuration.news > reading.news;
@@ -221,7 +221,9 @@
             is_told = messages.is_some(),
             "directory changed"
         );
-        self.state.peers.tell_news(messages.unwrap_or_default());
+        self.state
+            .peers
+            .queue_directory_updates(messages.unwrap_or_default());
     }
 
     /// Removals of the known servers that a full read did not return.
@@ -229,14 +231,14 @@
         let ids: HashSet<&Name> = listed
             .iter()
             .filter_map(|change| match change {
-                ServerChange::Here(entry) => Some(&entry.id),
-                ServerChange::Gone(_) => None,
+                ServerChange::Upserted(entry) => Some(&entry.id),
+                ServerChange::Removed(_) => None,
             })
             .collect();
         let servers = self.state.fleet.servers().into_iter();
         let removed = servers.filter(|server| !ids.contains(&server.id) && !server.is_lapsed());
         removed
-            .map(|server| ServerChange::Gone(server.id.clone()))
+            .map(|server| ServerChange::Removed(server.id.clone()))
             .collect()
     }
 
