--- a/src/gateway/order_dispatch.rs
+++ b/src/gateway/order_dispatch.rs
@@ -2,10 +2,10 @@
 
 use crate::gateway::fleet::{Incarnation, Server};
 use crate::gateway::load_limit::Ceiling;
-use crate::gateway::order_queue::Chain;
+use crate::gateway::order_queue::OrderTarget;
 use crate::gateway::peers::{Urgency, WantedRate};
-use crate::gateway::planning::{Planning, RunnerView, Steps};
-use crate::gateway::runner_state::Tracked;
+use crate::gateway::planning::{PlacementPlanner, RunnerPlan, RunnerView};
+use crate::gateway::runner_state::RunnerState;
 use crate::gateway::state::State;
 use crate::gateway::{RunnerControl, RunnerReport, Weights};
 use crate::inventory::Name;
@@ -16,38 +16,38 @@
 use tracing::info;
 
 /// How old a runner's account may get before it is asked for again.
-const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 /// The pause before asking again a runner whose account did not come.
-const REFRESH_PAUSE: Duration = Duration::from_millis(500);
+const REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// The fence of the first claim ever.
 const FIRST_FENCE: u64 = 1;
 /// For how long a model that was asked for counts as one that will be asked for again.
-const ASKED_FOR: Duration = Duration::from_secs(20);
+const RECENT_REQUEST_PERIOD: Duration = Duration::from_secs(20);
 
 /// Gives orders while this VM holds the claim.
-pub(crate) struct Ordering<R> {
+pub(crate) struct OrderDispatcher<R> {
     pub(super) state: Rc<State>,
-    pub(super) runners: R,
+    pub(super) runner_control: R,
     pub(super) fence: Cell<Option<u64>>,
-    pub(super) is_fenced: Cell<bool>,
-    pub(super) tracked: RefCell<BTreeMap<Incarnation, Tracked>>,
+    pub(super) was_fenced: Cell<bool>,
+    pub(super) runner_states: RefCell<BTreeMap<Incarnation, RunnerState>>,
     ceiling: Ceiling,
     /// When models were last asked for.
-    asked: RefCell<HashMap<Name, Instant>>,
+    last_requested_at: RefCell<HashMap<Name, Instant>>,
 }
 
-impl<R: RunnerControl> Ordering<R> {
+impl<R: RunnerControl> OrderDispatcher<R> {
     /// Gives no orders yet.
-    pub(crate) fn new(state: Rc<State>, runners: R) -> Rc<Self> {
+    pub(crate) fn new(state: Rc<State>, runner_control: R) -> Rc<Self> {
         let ceiling = Ceiling::new(state.settings.bounds.load_window);
         Rc::new(Self {
             state,
-            runners,
+            runner_control,
             fence: Cell::new(None),
-            is_fenced: Cell::new(false),
-            tracked: RefCell::default(),
+            was_fenced: Cell::new(false),
+            runner_states: RefCell::default(),
             ceiling,
-            asked: RefCell::default(),
+            last_requested_at: RefCell::default(),
         })
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Whether this VM holds the claim.
-    pub(crate) fn is_holder(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         self.fence.get().is_some()
     }
 
@@ -66,7 +66,7 @@
         if fence > FIRST_FENCE {
             self.ceiling.take_over(Instant::now());
         }
-        self.tracked.borrow_mut().clear();
+        self.runner_states.borrow_mut().clear();
         self.state.metrics.is_leading.set(1);
         self.fence.set(Some(fence));
         self.state.fence.set(fence);
@@ -78,59 +78,63 @@
         self.fence.set(None);
         self.state.fence.set(0);
         self.state.metrics.is_leading.set(0);
-        self.tracked.borrow_mut().clear();
+        self.runner_states.borrow_mut().clear();
         self.state.leader_view.borrow_mut().clear();
     }
 
     /// Whether a later holder was met since the last call.
     pub(crate) fn take_fenced(&self) -> bool {
-        self.is_fenced.replace(false)
+        self.was_fenced.replace(false)
     }
 
     /// Looks at all runners and begins what is to be done.
     pub(crate) fn tick(self: &Rc<Self>) {
-        self.follow_fleet();
-        self.refresh();
-        self.tell();
+        self.sync_runner_states();
+        self.refresh_reports();
+        self.advertise_holdings();
         let Some(configuration) = self.state.configuration() else {
             return;
         };
         let now = Instant::now();
         let demand = self.state.demand(now);
-        let asked = self.asked_lately(&demand, now);
+        let recently_requested = self.recently_requested_models(&demand, now);
         for (service, engine) in configuration.engines() {
             let runners = self.views(&service.name);
-            let planning = Planning {
+            let planner = PlacementPlanner {
                 engine,
                 runners: &runners,
                 demand: &demand,
-                asked: &asked,
+                recently_requested: &recently_requested,
                 cold_loads: self.ceiling.left(engine.loads_per_s, now),
             };
-            for (runner, steps) in planning.plan() {
-                self.begin(&runner, steps, now);
+            for (runner, runner_plan) in planner.plan() {
+                self.start_orders(&runner, runner_plan, now);
             }
         }
     }
 
     /// The models that were asked for lately.
-    fn asked_lately(&self, demand: &HashMap<Weights, WantedRate>, now: Instant) -> HashSet<Name> {
-        let mut asked = self.asked.borrow_mut();
+    fn recently_requested_models(
+        &self,
+        demand: &HashMap<Weights, WantedRate>,
+        now: Instant,
+    ) -> HashSet<Name> {
+        let mut last_requested_at = self.last_requested_at.borrow_mut();
         for weights in demand.keys() {
-            asked.insert(weights.model.clone(), now);
+            last_requested_at.insert(weights.model.clone(), now);
         }
-        asked.retain(|_, at| now.duration_since(*at) < ASKED_FOR);
-        asked.keys().cloned().collect()
+        last_requested_at.retain(|_, at| now.duration_since(*at) < RECENT_REQUEST_PERIOD);
+        last_requested_at.keys().cloned().collect()
     }
 
     /// Tracks each listed runner, and none that is gone; one that is given orders stays until these
     /// end, since its entry may come back meanwhile.
-    fn follow_fleet(&self) {
+    fn sync_runner_states(&self) {
         let Some(configuration) = self.state.configuration() else {
             return;
         };
-        let mut tracked = self.tracked.borrow_mut();
-        tracked.retain(|run, it| it.is_working || self.state.fleet.run(run).is_some());
+        let mut tracked = self.runner_states.borrow_mut();
+        tracked.retain(|run, it| it.is_executing || self.state.fleet.run(run).is_some());
         for (service, _) in configuration.engines() {
             for server in self.state.fleet.of_service(&service.name) {
                 tracked.entry(server.incarnation()).or_default();
@@ -139,48 +143,48 @@
     }
 
     /// Asks runners whose account is old or missing.
-    fn refresh(self: &Rc<Self>) {
+    fn refresh_reports(self: &Rc<Self>) {
         let now = Instant::now();
-        let mut tracked = self.tracked.borrow_mut();
+        let mut tracked = self.runner_states.borrow_mut();
         for (run, tracked) in tracked.iter_mut() {
             let limit = match tracked.report {
-                Some(_) if !tracked.is_missed => REFRESH_INTERVAL,
-                _ => REFRESH_PAUSE,
+                Some(_) if !tracked.last_report_missed => MAX_REPORT_AGE,
+                _ => REPORT_RETRY_INTERVAL,
             };
             let is_old = tracked
-                .asked_at
+                .report_requested_at
                 .is_none_or(|at| now.duration_since(at) >= limit);
-            if tracked.is_working || !is_old {
+            if tracked.is_executing || !is_old {
                 continue;
             }
             let Some(server) = self.state.fleet.run(run) else {
                 continue;
             };
-            tracked.asked_at = Some(now);
-            let ordering = self.clone();
+            tracked.report_requested_at = Some(now);
+            let dispatcher = self.clone();
             compio::runtime::spawn(async move {
-                ordering.ask(&server).await;
+                dispatcher.fetch_report(&server).await;
             })
             .detach();
         }
     }
 
     /// Asks a runner for its account and takes it over.
-    pub(super) async fn ask(&self, server: &Server) -> Option<RunnerReport> {
+    pub(super) async fn fetch_report(&self, server: &Server) -> Option<RunnerReport> {
         let fence = self.fence.get();
-        let report = self.runners.report(server.address, &server.id).await;
+        let report = self.runner_control.report(server.address, &server.id).await;
         if self.fence.get() != fence {
             return None;
         }
-        let mut all = self.tracked.borrow_mut();
+        let mut all = self.runner_states.borrow_mut();
         let tracked = all.get_mut(&server.incarnation())?;
         let Some(report) = report else {
-            let is_missed = tracked.is_missed;
+            let is_missed = tracked.last_report_missed;
             info!(server = %server.id, is_missed, "runner gives no account");
-            tracked.note_missed();
+            tracked.note_missed_report();
             return None;
         };
-        tracked.is_missed = false;
+        tracked.last_report_missed = false;
         // One that has started again is planned for once the directory lists its new run.
         if report.started_ms != server.started_ms {
             tracked.report = None;
@@ -191,16 +195,16 @@
         if report.orders < known {
             return None;
         }
-        tracked.asked_at = Some(Instant::now());
+        tracked.report_requested_at = Some(Instant::now());
         tracked.report = Some(report.clone());
         Some(report)
     }
 
     /// Tells all VMs what runners hold.
-    pub(super) fn tell(&self) {
+    pub(super) fn advertise_holdings(&self) {
         let now = Instant::now();
         let mut view = Vec::new();
-        for (run, tracked) in self.tracked.borrow().iter() {
+        for (run, tracked) in self.runner_states.borrow().iter() {
             let Some(holdings) = tracked.usable() else {
                 continue;
             };
@@ -218,7 +222,7 @@
     }
 
     fn views(&self, service: &str) -> Vec<RunnerView> {
-        let tracked = self.tracked.borrow();
+        let tracked = self.runner_states.borrow();
         let servers = self.state.fleet.of_service(service);
         let mut views: Vec<RunnerView> = servers
             .iter()
@@ -233,7 +237,7 @@
         views
     }
 
-    fn begin(self: &Rc<Self>, runner: &Name, steps: Steps, now: Instant) {
+    fn start_orders(self: &Rc<Self>, runner: &Name, runner_plan: RunnerPlan, now: Instant) {
         let Some(server) = self.state.fleet.server(runner) else {
             return;
         };
@@ -241,23 +245,23 @@
             return;
         };
         {
-            let mut all = self.tracked.borrow_mut();
+            let mut all = self.runner_states.borrow_mut();
             let Some(tracked) = all.get_mut(&server.incarnation()) else {
                 return;
             };
-            tracked.is_working = true;
+            tracked.is_executing = true;
             let is_model = |weights: &&Weights| weights.adapter.is_none();
-            let loading = steps.load.iter().find(is_model);
+            let loading = runner_plan.load.iter().find(is_model);
             tracked.loading = loading.map(|weights| weights.model.clone());
         }
-        if steps.is_cold {
+        if runner_plan.is_cold {
             self.ceiling.note(now);
         }
-        let ordering = self.clone();
-        let chain = Chain { server, fence };
+        let dispatcher = self.clone();
+        let target = OrderTarget { server, fence };
         compio::runtime::spawn(async move {
-            ordering.carry_out(&chain, &steps).await;
-            ordering.end(&chain);
+            dispatcher.execute_plan(&target, &runner_plan).await;
+            dispatcher.finish_orders(&target);
         })
         .detach();
     }
--- a/src/gateway/order_queue.rs
+++ b/src/gateway/order_queue.rs
@@ -1,9 +1,9 @@
 //! Giving orders to one runner, one after the other, each once the one before is complete.
 
 use crate::gateway::fleet::{Server, holds};
-use crate::gateway::order_dispatch::Ordering;
-use crate::gateway::planning::Steps;
-use crate::gateway::runner_state::{SETTLE, apply};
+use crate::gateway::order_dispatch::OrderDispatcher;
+use crate::gateway::planning::RunnerPlan;
+use crate::gateway::runner_state::{MIN_RESIDENCE, apply_order};
 use crate::gateway::{Order, OrderOutcome, RunnerControl, RunnerReport, Weights};
 use crate::inventory::Name;
 use std::rc::Rc;
@@ -13,51 +13,51 @@
 /// By how much a runner's account lags behind what it does.
 const REPORT_LAG: Duration = Duration::from_millis(250);
 /// The time between two looks whether a load or a drop is complete.
-const LOOK_INTERVAL: Duration = Duration::from_millis(120);
+const POLL_INTERVAL: Duration = Duration::from_millis(120);
 /// How long a load or a drop may take before the runner is planned for anew.
-const STEP_LIMIT: Duration = Duration::from_secs(20);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often one order is tried.
-const MAX_TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Orders for one runner that are given one after the other, under one claim.
-pub(super) struct Chain {
+pub(super) struct OrderTarget {
     pub(super) server: Rc<Server>,
     pub(super) fence: u64,
 }
 
-impl<R: RunnerControl> Ordering<R> {
+impl<R: RunnerControl> OrderDispatcher<R> {
     /// Whether the claim holds under which orders are given.
-    pub(super) fn is_current(&self, chain: &Chain) -> bool {
-        self.fence.get() == Some(chain.fence)
+    pub(super) fn is_current(&self, target: &OrderTarget) -> bool {
+        self.fence.get() == Some(target.fence)
     }
 
     /// Lets the runner be planned for again; what a later claim of this VM tracks is not touched.
-    pub(super) fn end(&self, chain: &Chain) {
-        if !self.is_current(chain) {
+    pub(super) fn finish_orders(&self, target: &OrderTarget) {
+        if !self.is_current(target) {
             return;
         }
         if let Some(tracked) = self
-            .tracked
+            .runner_states
             .borrow_mut()
-            .get_mut(&chain.server.incarnation())
+            .get_mut(&target.server.incarnation())
         {
-            tracked.is_working = false;
+            tracked.is_executing = false;
             tracked.loading = None;
-            tracked.dropping = None;
+            tracked.unloading = None;
         }
-        self.tell();
+        self.advertise_holdings();
     }
 
-    pub(super) async fn carry_out(&self, chain: &Chain, steps: &Steps) {
-        let server = &chain.server;
-        let drops = steps.drop.iter().map(|weights| (weights, false));
-        let loads = steps.load.iter().map(|weights| (weights, true));
-        for (weights, is_load) in drops.chain(loads) {
+    pub(super) async fn execute_plan(&self, target: &OrderTarget, runner_plan: &RunnerPlan) {
+        let server = &target.server;
+        let unloads = runner_plan.unload.iter().map(|weights| (weights, false));
+        let loads = runner_plan.load.iter().map(|weights| (weights, true));
+        for (weights, is_load) in unloads.chain(loads) {
             if !is_load && weights.adapter.is_none() {
-                self.set_dropping(server, Some(weights.model.clone()));
+                self.set_unloading(server, Some(weights.model.clone()));
             }
             let began = Instant::now();
-            let done = self.step(chain, weights, is_load).await;
+            let done = self.execute_order(target, weights, is_load).await;
             info!(
                 server = %server.id,
                 model = %weights.model,
@@ -70,33 +70,43 @@
             if !done {
                 return;
             }
-            self.set_dropping(server, None);
+            self.set_unloading(server, None);
             if is_load && weights.adapter.is_none() {
                 self.note_loaded(server, &weights.model);
             }
-            self.tell();
+            self.advertise_holdings();
         }
     }
 
     fn note_loaded(&self, server: &Server, model: &Name) {
-        if let Some(tracked) = self.tracked.borrow_mut().get_mut(&server.incarnation()) {
-            tracked.loaded.retain(|(_, at)| at.elapsed() < SETTLE);
-            tracked.loaded.push((model.clone(), Instant::now()));
+        if let Some(tracked) = self
+            .runner_states
+            .borrow_mut()
+            .get_mut(&server.incarnation())
+        {
+            tracked
+                .recent_loads
+                .retain(|(_, at)| at.elapsed() < MIN_RESIDENCE);
+            tracked.recent_loads.push((model.clone(), Instant::now()));
         }
     }
 
-    fn set_dropping(&self, server: &Server, model: Option<Name>) {
-        if let Some(tracked) = self.tracked.borrow_mut().get_mut(&server.incarnation()) {
-            tracked.dropping = model;
+    fn set_unloading(&self, server: &Server, model: Option<Name>) {
+        if let Some(tracked) = self
+            .runner_states
+            .borrow_mut()
+            .get_mut(&server.incarnation())
+        {
+            tracked.unloading = model;
         }
-        self.tell();
+        self.advertise_holdings();
     }
 
     /// Gives one order and waits until it is complete.
-    async fn step(&self, chain: &Chain, weights: &Weights, is_load: bool) -> bool {
-        let server = &chain.server;
-        for _ in 0..MAX_TRIES {
-            let Some(outcome) = self.order(chain, weights, is_load).await else {
+    async fn execute_order(&self, target: &OrderTarget, weights: &Weights, is_load: bool) -> bool {
+        let server = &target.server;
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(outcome) = self.send_order(target, weights, is_load).await else {
                 return false;
             };
             match outcome {
@@ -105,15 +115,15 @@
                     // A new adapter is there within milliseconds; one that is dropped in
                     // use keeps its place until its runs have ended.
                     let is_quick = is_load && weights.adapter.is_some();
-                    return is_quick || self.complete(chain, weights, is_load).await;
+                    return is_quick || self.wait_until_complete(target, weights, is_load).await;
                 }
                 OrderOutcome::Held => {
-                    self.note_held(server, weights, is_load);
+                    self.note_already_done(server, weights, is_load);
                     return true;
                 }
                 OrderOutcome::Fenced => {
                     warn!(server = %server.id, "a later holder gives orders");
-                    self.is_fenced.set(true);
+                    self.was_fenced.set(true);
                     self.stop();
                     return false;
                 }
@@ -123,7 +133,7 @@
                 }
                 OrderOutcome::Busy | OrderOutcome::Unanswered => {
                     compio::time::sleep(REPORT_LAG).await;
-                    self.ask(server).await;
+                    self.fetch_report(server).await;
                 }
             }
         }
@@ -134,20 +144,29 @@
     fn note_unreachable(&self, server: &Server) {
         let now = Instant::now();
         server.note_failure(now);
-        if let Some(tracked) = self.tracked.borrow_mut().get_mut(&server.incarnation()) {
+        if let Some(tracked) = self
+            .runner_states
+            .borrow_mut()
+            .get_mut(&server.incarnation())
+        {
             tracked.report = None;
-            tracked.asked_at = Some(now);
+            tracked.report_requested_at = Some(now);
         }
     }
 
     /// Gives an order; `None` where it may not be given, or the claim ended meanwhile.
-    async fn order(&self, chain: &Chain, weights: &Weights, is_load: bool) -> Option<OrderOutcome> {
-        let Chain { server, fence } = chain;
-        if !self.is_current(chain) {
+    async fn send_order(
+        &self,
+        target: &OrderTarget,
+        weights: &Weights,
+        is_load: bool,
+    ) -> Option<OrderOutcome> {
+        let OrderTarget { server, fence } = target;
+        if !self.is_current(target) {
             return None;
         }
         let expected_orders = {
-            let tracked = self.tracked.borrow();
+            let tracked = self.runner_states.borrow();
             let report = tracked.get(&server.incarnation())?.report.as_ref()?;
             // The account does not tell what an order in progress brings, and the number of orders
             // counts it already.
@@ -169,7 +188,7 @@
             holder: &self.state.settings.vm,
             fence: *fence,
         };
-        let outcome = self.runners.order(server.address, &order).await;
+        let outcome = self.runner_control.order(server.address, &order).await;
         let operation = if is_load { "load" } else { "drop" };
         self.state.metrics.note_order(operation, outcome.name());
         info!(
@@ -182,7 +201,7 @@
             ?outcome,
             "order given"
         );
-        self.is_current(chain).then_some(outcome)
+        self.is_current(target).then_some(outcome)
     }
 
     /// Whether a runner that holds what it reports has room for more; one that is ordered
@@ -198,48 +217,53 @@
 
     /// Counts an accepted order.
     fn note_accepted(&self, server: &Server, weights: &Weights, is_load: bool) {
-        let mut all = self.tracked.borrow_mut();
+        let mut all = self.runner_states.borrow_mut();
         let tracked = all.get_mut(&server.incarnation());
         if let Some(report) = tracked.and_then(|it| it.report.as_mut()) {
             report.orders += 1;
             if is_load && weights.adapter.is_some() {
-                apply(&mut report.holdings, weights, is_load);
+                apply_order(&mut report.holdings, weights, is_load);
             }
         }
     }
 
-    fn note_held(&self, server: &Server, weights: &Weights, is_load: bool) {
-        let mut all = self.tracked.borrow_mut();
+    fn note_already_done(&self, server: &Server, weights: &Weights, is_load: bool) {
+        let mut all = self.runner_states.borrow_mut();
         let tracked = all.get_mut(&server.incarnation());
         if let Some(report) = tracked.and_then(|it| it.report.as_mut()) {
-            let is_dropped = !is_load && holds(&report.holdings, weights);
-            if is_dropped && weights.adapter.is_some() {
+            let was_unloaded = !is_load && holds(&report.holdings, weights);
+            if was_unloaded && weights.adapter.is_some() {
                 // An adapter out of use is dropped at once, which counts as an order.
                 report.orders += 1;
             }
-            apply(&mut report.holdings, weights, is_load);
+            apply_order(&mut report.holdings, weights, is_load);
         }
     }
 
     /// Waits until a model is there, or gone.
-    async fn complete(&self, chain: &Chain, weights: &Weights, is_load: bool) -> bool {
-        let server = &chain.server;
+    async fn wait_until_complete(
+        &self,
+        target: &OrderTarget,
+        weights: &Weights,
+        is_load: bool,
+    ) -> bool {
+        let server = &target.server;
         let began = Instant::now();
-        compio::time::sleep(self.expected(server, weights, is_load)).await;
-        while began.elapsed() < STEP_LIMIT && self.is_current(chain) {
-            if let Some(report) = self.ask(server).await {
+        compio::time::sleep(self.min_duration(server, weights, is_load)).await;
+        while began.elapsed() < ORDER_TIMEOUT && self.is_current(target) {
+            if let Some(report) = self.fetch_report(server).await {
                 let holds = holds(&report.holdings, weights);
                 if !report.is_busy && holds == is_load {
                     return true;
                 }
             }
-            compio::time::sleep(LOOK_INTERVAL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         false
     }
 
     /// How long an order takes at least.
-    fn expected(&self, server: &Server, weights: &Weights, is_load: bool) -> Duration {
+    fn min_duration(&self, server: &Server, weights: &Weights, is_load: bool) -> Duration {
         if !is_load {
             return REPORT_LAG;
         }
--- a/src/gateway/planning.rs
+++ b/src/gateway/planning.rs
@@ -1,19 +1,19 @@
-//! Which runner should hold which model and adapter: models by [`Swaps`], then adapters.
+//! Which runner should hold which model and adapter: models by [`SwapPlanner`], then adapters.
 
 use crate::gateway::peers::WantedRate;
-use crate::gateway::swaps::Swaps;
+use crate::gateway::swaps::SwapPlanner;
 use crate::gateway::{Engine, Model, Weights};
 use crate::inventory::Name;
 use std::collections::{HashMap, HashSet};
 
 /// The demand for an adapter copy from which a second one is placed, in milliseconds of a
 /// runner's time a second.
-const ADAPTER_CROWDED: f64 = 100.0;
+const CROWDED_ADAPTER_MS_PER_S: f64 = 100.0;
 /// What a request that waits for an adapter counts beside the demand, in milliseconds of a
 /// runner's time a second.
-const WAITING_MS_PER_S: f64 = 30.0;
+const WAITING_REQUEST_MS_PER_S: f64 = 30.0;
 /// Adapters that may be on their way to one runner.
-const MAX_ADAPTERS_COMING: usize = 4;
+const MAX_ADAPTER_LOADS: usize = 4;
 
 /// A model runner as the planner sees it.
 #[derive(Clone, Debug, Default)]
@@ -23,11 +23,11 @@
     /// The models that it holds and that are to stay.
     pub(crate) models: Vec<Name>,
     /// The model that is being loaded there.
-    pub(crate) coming: Option<Name>,
+    pub(crate) loading: Option<Name>,
     /// The adapters that it holds.
     pub(crate) adapters: Vec<Weights>,
     /// Whether steps are being carried out there.
-    pub(crate) is_working: bool,
+    pub(crate) is_executing: bool,
     /// Models whose weights it keeps in host memory.
     pub(crate) in_memory: Vec<Name>,
     /// Models whose weights it keeps on disk.
@@ -35,26 +35,26 @@
     /// Requests on it, by model.
     pub(crate) in_flight: HashMap<Name, u32>,
     /// Models that were loaded a moment ago and stay for now.
-    pub(crate) settling: Vec<Name>,
+    pub(crate) recently_loaded: Vec<Name>,
 }
 
 impl RunnerView {
     /// Whether an order can be given there.
     pub(super) fn is_free(&self) -> bool {
-        !self.is_working && self.coming.is_none()
+        !self.is_executing && self.loading.is_none()
     }
 
     /// Whether a model can be loaded there without the weight store.
-    pub(super) fn has_at_hand(&self, model: &Name) -> bool {
+    pub(super) fn has_cached(&self, model: &Name) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
     }
 }
 
 /// What one runner is to do, in this order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Steps {
+pub(crate) struct RunnerPlan {
     /// What is dropped.
-    pub(crate) drop: Vec<Weights>,
+    pub(crate) unload: Vec<Weights>,
     /// What is loaded.
     pub(crate) load: Vec<Weights>,
     /// Whether a load comes from the weight store.
@@ -63,7 +63,7 @@
 
 /// The state that a plan is made from.
 #[derive(Debug)]
-pub(crate) struct Planning<'a> {
+pub(crate) struct PlacementPlanner<'a> {
     /// The models and the room of a runner.
     pub(crate) engine: &'a Engine,
     /// The runners.
@@ -71,22 +71,22 @@
     /// The demand at all VMs.
     pub(crate) demand: &'a HashMap<Weights, WantedRate>,
     /// Models that were asked for lately.
-    pub(crate) asked: &'a HashSet<Name>,
+    pub(crate) recently_requested: &'a HashSet<Name>,
     /// Loads from the weight store that may begin now.
     pub(crate) cold_loads: usize,
 }
 
-impl Planning<'_> {
+impl PlacementPlanner<'_> {
     /// What each runner is to do; runners without steps are left out.
-    pub(crate) fn plan(&self) -> HashMap<Name, Steps> {
-        let mut steps = HashMap::new();
-        Swaps::new(self).plan(&mut steps);
-        self.plan_adapters(&mut steps);
-        steps
+    pub(crate) fn plan(&self) -> HashMap<Name, RunnerPlan> {
+        let mut plans = HashMap::new();
+        SwapPlanner::new(self).plan(&mut plans);
+        self.plan_adapters(&mut plans);
+        plans
     }
 
     /// The copies of a model that hold all its adapters.
-    pub(super) fn copies_for_adapters(&self, model: &Model) -> usize {
+    pub(super) fn min_copies_for_adapters(&self, model: &Model) -> usize {
         let slots = self.engine.adapter_slots.max(1);
         model.adapters.div_ceil(slots) as usize
     }
@@ -94,7 +94,7 @@
     /// Room for models on a runner.
     pub(super) fn free_mb(&self, runner: &RunnerView) -> f64 {
         let held = runner.models.iter().map(|held| self.size_mb(held));
-        self.engine.weights_mb - self.adapter_room_mb() - held.sum::<f64>()
+        self.engine.weights_mb - self.adapter_reserve_mb() - held.sum::<f64>()
     }
 
     fn size_mb(&self, model: &str) -> f64 {
@@ -104,38 +104,38 @@
     }
 
     /// Room that adapters may need beside the models.
-    fn adapter_room_mb(&self) -> f64 {
+    fn adapter_reserve_mb(&self) -> f64 {
         let sizes = self.engine.models.iter().map(|model| model.adapter_mb);
         sizes.fold(0.0, f64::max) * f64::from(self.engine.adapter_slots)
     }
 
-    fn plan_adapters(&self, steps: &mut HashMap<Name, Steps>) {
+    fn plan_adapters(&self, plans: &mut HashMap<Name, RunnerPlan>) {
         let mut views: Vec<RunnerView> = self
             .runners
             .iter()
-            .filter(|runner| !runner.is_working && !steps.contains_key(&runner.id))
+            .filter(|runner| !runner.is_executing && !plans.contains_key(&runner.id))
             .cloned()
             .collect();
-        let mut placed: HashMap<Weights, usize> = HashMap::new();
+        let mut copy_counts: HashMap<Weights, usize> = HashMap::new();
         for runner in self.runners {
             for adapter in &runner.adapters {
-                *placed.entry(adapter.clone()).or_default() += 1;
+                *copy_counts.entry(adapter.clone()).or_default() += 1;
             }
         }
-        for wanted in self.wanted_adapters(&placed) {
+        for wanted in self.adapters_by_urgency(&copy_counts) {
             let rate = self.demand.get(&wanted).copied().unwrap_or_default();
-            let copies = placed.get(&wanted).copied().unwrap_or(0);
-            let is_crowded = rate.busy_ms_per_s / (copies.max(1) as f64) > ADAPTER_CROWDED;
+            let copies = copy_counts.get(&wanted).copied().unwrap_or(0);
+            let is_crowded = rate.busy_ms_per_s / (copies.max(1) as f64) > CROWDED_ADAPTER_MS_PER_S;
             if copies > 0 && !is_crowded {
                 continue;
             }
-            let is_asked_for = rate.waiting > 0 || rate.busy_ms_per_s > 0.0;
-            self.place_adapter(&wanted, copies == 0 && is_asked_for, &mut views, steps);
+            let is_requested = rate.waiting > 0 || rate.busy_ms_per_s > 0.0;
+            self.place_adapter(&wanted, copies == 0 && is_requested, &mut views, plans);
         }
     }
 
     /// All adapters of models that some runner holds, the most wanted first.
-    fn wanted_adapters(&self, placed: &HashMap<Weights, usize>) -> Vec<Weights> {
+    fn adapters_by_urgency(&self, copy_counts: &HashMap<Weights, usize>) -> Vec<Weights> {
         let models = self.engine.models.iter();
         let mut wanted: Vec<Weights> = models
             .flat_map(|model| {
@@ -148,7 +148,7 @@
         wanted.sort_by(|left, right| {
             let urgency = |weights: &Weights| {
                 let rate = self.demand.get(weights).copied().unwrap_or_default();
-                let is_missing = !placed.contains_key(weights);
+                let is_missing = !copy_counts.contains_key(weights);
                 (is_missing, rate.waiting, rate.busy_ms_per_s)
             };
             let (left, right) = (urgency(left), urgency(right));
@@ -164,39 +164,43 @@
         wanted: &Weights,
         may_evict: bool,
         views: &mut [RunnerView],
-        steps: &mut HashMap<Name, Steps>,
+        plans: &mut HashMap<Name, RunnerPlan>,
     ) {
         let slots = self.engine.adapter_slots as usize;
         let fitting = views.iter_mut().filter(|runner| {
-            let coming = steps.get(&runner.id).map_or(0, |steps| steps.load.len());
+            let planned_loads = plans
+                .get(&runner.id)
+                .map_or(0, |runner_plan| runner_plan.load.len());
             runner.models.contains(&wanted.model)
                 && !runner.adapters.contains(wanted)
-                && coming < MAX_ADAPTERS_COMING
+                && planned_loads < MAX_ADAPTER_LOADS
         });
         let Some(runner) = fitting.min_by_key(|runner| runner.adapters.len()) else {
             return;
         };
-        let mut drop = Vec::new();
+        let mut unload = Vec::new();
         if runner.adapters.len() >= slots {
             // What this very plan loads is no victim: drops are carried out before loads.
-            let planned = steps.get(&runner.id).map_or(&[][..], |steps| &steps.load);
-            let Some(victim) = may_evict
-                .then(|| self.idlest_adapter(runner, wanted, planned))
+            let planned = plans
+                .get(&runner.id)
+                .map_or(&[][..], |runner_plan| &runner_plan.load);
+            let Some(evicted) = may_evict
+                .then(|| self.least_demanded_adapter(runner, wanted, planned))
                 .flatten()
             else {
                 return;
             };
-            runner.adapters.retain(|held| *held != victim);
-            drop.push(victim);
+            runner.adapters.retain(|held| *held != evicted);
+            unload.push(evicted);
         }
         runner.adapters.push(wanted.clone());
-        let steps = steps.entry(runner.id.clone()).or_default();
-        steps.drop.extend(drop);
-        steps.load.push(wanted.clone());
+        let runner_plan = plans.entry(runner.id.clone()).or_default();
+        runner_plan.unload.extend(unload);
+        runner_plan.load.push(wanted.clone());
     }
 
     /// The adapter on a runner that is asked for least, if less than `wanted`.
-    fn idlest_adapter(
+    fn least_demanded_adapter(
         &self,
         runner: &RunnerView,
         wanted: &Weights,
@@ -204,19 +208,19 @@
     ) -> Option<Weights> {
         let rate = |weights: &Weights| {
             let rate = self.demand.get(weights).copied().unwrap_or_default();
-            rate.busy_ms_per_s + f64::from(rate.waiting) * WAITING_MS_PER_S
+            rate.busy_ms_per_s + f64::from(rate.waiting) * WAITING_REQUEST_MS_PER_S
         };
         let held = runner
             .adapters
             .iter()
             .filter(|held| !planned.contains(held));
-        let idlest = held.min_by(|left, right| rate(left).total_cmp(&rate(right)))?;
-        (rate(idlest) < rate(wanted)).then(|| idlest.clone())
+        let least_demanded = held.min_by(|left, right| rate(left).total_cmp(&rate(right)))?;
+        (rate(least_demanded) < rate(wanted)).then(|| least_demanded.clone())
     }
 }
 
 /// The model itself, without an adapter.
-pub(super) fn whole(model: Name) -> Weights {
+pub(super) fn model_weights(model: Name) -> Weights {
     Weights {
         model,
         adapter: None,
--- a/src/gateway/runner_state.rs
+++ b/src/gateway/runner_state.rs
@@ -9,40 +9,40 @@
 
 /// How long a model stays once it was loaded: the demand that it was loaded for is counted
 /// over a second and a half and needs some time to show at the new copy.
-pub(super) const SETTLE: Duration = Duration::from_secs(2);
+pub(super) const MIN_RESIDENCE: Duration = Duration::from_secs(2);
 
 /// What is known of one runner.
 #[derive(Debug, Default)]
-pub(super) struct Tracked {
+pub(super) struct RunnerState {
     /// Its account; `None` until it was asked.
     pub(super) report: Option<RunnerReport>,
-    pub(super) asked_at: Option<Instant>,
+    pub(super) report_requested_at: Option<Instant>,
     /// Whether the last account that was asked for did not come.
-    pub(super) is_missed: bool,
-    pub(super) is_working: bool,
+    pub(super) last_report_missed: bool,
+    pub(super) is_executing: bool,
     /// A model that is being dropped: no request is to be sent for it.
-    pub(super) dropping: Option<Name>,
+    pub(super) unloading: Option<Name>,
     /// A model that is being loaded.
     pub(super) loading: Option<Name>,
     /// When models were loaded of late.
-    pub(super) loaded: Vec<(Name, Instant)>,
+    pub(super) recent_loads: Vec<(Name, Instant)>,
 }
 
-impl Tracked {
+impl RunnerState {
     /// Notes an account that did not come. What is known stays for one of them: without it the plan
     /// would take the runner's copies, and what it loads, for gone and load them elsewhere.
-    pub(super) fn note_missed(&mut self) {
-        if self.is_missed {
+    pub(super) fn note_missed_report(&mut self) {
+        if self.last_report_missed {
             self.report = None;
         }
-        self.is_missed = true;
+        self.last_report_missed = true;
     }
 
     /// The models that requests may be sent for.
     pub(super) fn usable(&self) -> Option<Vec<Holding>> {
         let report = self.report.as_ref()?;
         let holdings = report.holdings.iter();
-        let usable = holdings.filter(|holding| self.dropping.as_ref() != Some(&holding.model));
+        let usable = holdings.filter(|holding| self.unloading.as_ref() != Some(&holding.model));
         Some(usable.cloned().collect())
     }
 
@@ -64,8 +64,8 @@
             id: server.id.clone(),
             adapters: adapters.chain(coming.cloned()).collect(),
             models: usable.iter().map(|holding| holding.model.clone()).collect(),
-            coming: self.loading.clone(),
-            is_working: self.is_working || report.is_busy,
+            loading: self.loading.clone(),
+            is_executing: self.is_executing || report.is_busy,
             in_memory,
             on_disk,
             in_flight: report
@@ -80,10 +80,10 @@
                     (model.clone(), all)
                 })
                 .collect(),
-            settling: self
-                .loaded
+            recently_loaded: self
+                .recent_loads
                 .iter()
-                .filter(|(_, at)| at.elapsed() < SETTLE)
+                .filter(|(_, at)| at.elapsed() < MIN_RESIDENCE)
                 .map(|(model, _)| model.clone())
                 .collect(),
         })
@@ -91,7 +91,7 @@
 }
 
 /// Enters a change into what a runner holds.
-pub(super) fn apply(holdings: &mut Vec<Holding>, weights: &Weights, is_load: bool) {
+pub(super) fn apply_order(holdings: &mut Vec<Holding>, weights: &Weights, is_load: bool) {
     let Some(adapter) = &weights.adapter else {
         if !is_load {
             holdings.retain(|holding| holding.model != weights.model);
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -6,37 +6,37 @@
 
 /// The load of a runner, as a part of its time, up to which its streams are in time: beyond it
 /// prompts meet each other, and streams pause while they are read.
-const EASY_LOAD: f64 = 0.45;
+const MAX_ON_TIME_LOAD: f64 = 0.45;
 /// The load from which hardly any of its streams is in time.
-const LATE_LOAD: f64 = 1.0;
+const ALL_LATE_LOAD: f64 = 1.0;
 /// What a late answer loses against none at all: a caller that gets it late is served, one that
 /// is refused twice is not. With 0.7 and the shorter holds and returns of then, callers of a
 /// deployment whose loads take 9 s got 0.35 of what full service is worth, with these 0.43 (ten
 /// plays each of days with trouble or high load).
-const LATE_LOSS: f64 = 0.4;
+const LATE_ANSWER_COST: f64 = 0.4;
 /// What a load below the easy one costs: little, so that equal choices level the runners.
-const UNEVEN_LOSS: f64 = 0.05;
+const IMBALANCE_COST: f64 = 0.05;
 
 /// What is asked of one model.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ModelDemand {
     /// What it takes of runners' time: 1 keeps one runner busy.
-    pub(crate) runners: f64,
+    pub(crate) busy_runners: f64,
     /// Requests a second.
     pub(crate) requests_per_s: f64,
     /// Requests a second that are taken to be lost beside those while nobody holds it.
-    pub(crate) reach_per_s: f64,
+    pub(crate) missing_cost_per_s: f64,
 }
 
 /// Demand over the copies of models; models and runners are known by their places.
 #[derive(Clone, Debug)]
-pub(crate) struct Spread {
-    models: Vec<SpreadModel>,
-    runners: Vec<Load>,
+pub(crate) struct DemandSpread {
+    models: Vec<ModelCopies>,
+    runners: Vec<RunnerLoad>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct SpreadModel {
+struct ModelCopies {
     demand: ModelDemand,
     /// The runners that hold it, with the part of its demand that goes there.
     copies: Vec<(usize, f64)>,
@@ -44,156 +44,163 @@
 
 /// What one runner is asked.
 #[derive(Clone, Copy, Debug, Default)]
-struct Load {
-    runners: f64,
+struct RunnerLoad {
+    utilisation: f64,
     requests_per_s: f64,
 }
 
-impl Load {
+impl RunnerLoad {
     /// Requests a second that are lost, late ones in part.
     fn cost(self) -> f64 {
-        let late = (self.runners - EASY_LOAD) / (LATE_LOAD - EASY_LOAD);
-        let late = late.clamp(0.0, 1.0) * LATE_LOSS;
+        let late = (self.utilisation - MAX_ON_TIME_LOAD) / (ALL_LATE_LOAD - MAX_ON_TIME_LOAD);
+        let late = late.clamp(0.0, 1.0) * LATE_ANSWER_COST;
         // What a runner has no time for is not answered.
-        let refused = (1.0 - 1.0 / self.runners.max(1.0)).max(0.0);
+        let refused = (1.0 - 1.0 / self.utilisation.max(1.0)).max(0.0);
         let lost = late + (1.0 - late) * refused;
-        let uneven = UNEVEN_LOSS * self.runners.min(1.0);
-        self.requests_per_s * (uneven + (1.0 - UNEVEN_LOSS) * lost)
+        let imbalance = IMBALANCE_COST * self.utilisation.min(1.0);
+        self.requests_per_s * (imbalance + (1.0 - IMBALANCE_COST) * lost)
     }
 }
 
 /// What a change of one runner's models is worth, in requests a second.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Worth {
+pub(crate) struct SwapValue {
     /// What the new copy gains once it is there.
     pub(crate) gain: f64,
     /// What those that make room lose at once.
     pub(crate) loss: f64,
 }
 
-impl Spread {
+impl DemandSpread {
     /// Spreads the demand for models over the runners that hold them.
-    pub(crate) fn new(demands: Vec<ModelDemand>, holders: &[Vec<usize>], runners: usize) -> Self {
-        let models = demands.into_iter().zip(holders);
-        let models = models.map(|(demand, holders)| SpreadModel {
+    pub(crate) fn new(
+        demands: Vec<ModelDemand>,
+        copy_runners: &[Vec<usize>],
+        runners: usize,
+    ) -> Self {
+        let models = demands.into_iter().zip(copy_runners);
+        let models = models.map(|(demand, copy_runners)| ModelCopies {
             demand,
-            copies: holders.iter().map(|runner| (*runner, 0.0)).collect(),
+            copies: copy_runners.iter().map(|runner| (*runner, 0.0)).collect(),
         });
         let mut spread = Self {
             models: models.collect(),
-            runners: vec![Load::default(); runners],
+            runners: vec![RunnerLoad::default(); runners],
         };
-        spread.level();
+        spread.balance();
         spread
     }
 
     /// Places all demand anew, models with the fewest copies first, then once more over what
     /// the others take.
-    fn level(&mut self) {
+    fn balance(&mut self) {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by_key(|model| self.models[*model].copies.len());
         for model in &order {
-            self.place(*model);
+            self.assign_demand(*model);
         }
         for model in order {
-            self.lift(model);
-            self.place(model);
+            self.remove_demand(model);
+            self.assign_demand(model);
         }
     }
 
     /// How many runners hold a model.
-    pub(crate) fn copies(&self, model: usize) -> usize {
+    pub(crate) fn copy_count(&self, model: usize) -> usize {
         self.models[model].copies.len()
     }
 
     /// What a model takes of runners' time.
     pub(crate) fn demand(&self, model: usize) -> f64 {
-        self.models[model].demand.runners
+        self.models[model].demand.busy_runners
     }
 
     /// The load of a runner, as a part of its time.
     pub(crate) fn load(&self, runner: usize) -> f64 {
-        self.runners[runner].runners
+        self.runners[runner].utilisation
     }
 
     /// Requests a second for a model that are lost now.
-    pub(crate) fn lost(&self, model: usize) -> f64 {
-        let known = &self.models[model];
-        if known.copies.is_empty() {
-            return known.demand.requests_per_s + known.demand.reach_per_s;
+    pub(crate) fn lost_per_s(&self, model: usize) -> f64 {
+        let entry = &self.models[model];
+        if entry.copies.is_empty() {
+            return entry.demand.requests_per_s + entry.demand.missing_cost_per_s;
         }
-        let lost = known.copies.iter().map(|(runner, part)| {
+        let lost = entry.copies.iter().map(|(runner, fraction)| {
             let load = self.runners[*runner];
             let share = load.cost() / load.requests_per_s.max(f64::MIN_POSITIVE);
-            share * part * known.demand.requests_per_s
+            share * fraction * entry.demand.requests_per_s
         });
         lost.sum()
     }
 
     /// What it is worth to drop models on a runner and to load one there.
-    pub(crate) fn worth(&mut self, runner: usize, load: usize, drop: &[usize]) -> Worth {
-        let before = self.clone_touched(load, drop);
-        let touched = self.touched(runner, load, drop);
-        let cost_before = self.cost(&touched, load, drop);
-        for model in drop {
-            self.drop_copy(*model, runner);
+    pub(crate) fn swap_value(&mut self, runner: usize, load: usize, unload: &[usize]) -> SwapValue {
+        let before = self.save_affected(load, unload);
+        let affected = self.affected_runners(runner, load, unload);
+        let cost_before = self.cost(&affected, load, unload);
+        for model in unload {
+            self.remove_copy(*model, runner);
         }
-        let cost_without = self.cost(&touched, load, drop);
+        let cost_without = self.cost(&affected, load, unload);
         self.add_copy(load, runner);
-        let cost_after = self.cost(&touched, load, drop);
+        let cost_after = self.cost(&affected, load, unload);
         self.restore(before);
-        Worth {
+        SwapValue {
             gain: cost_without - cost_after,
             loss: cost_without - cost_before,
         }
     }
 
     /// Carries out such a change.
-    pub(crate) fn change(&mut self, runner: usize, load: usize, drop: &[usize]) {
-        for model in drop {
-            self.drop_copy(*model, runner);
+    pub(crate) fn apply_swap(&mut self, runner: usize, load: usize, unload: &[usize]) {
+        for model in unload {
+            self.remove_copy(*model, runner);
         }
         self.add_copy(load, runner);
     }
 
     fn add_copy(&mut self, model: usize, runner: usize) {
-        self.lift(model);
+        self.remove_demand(model);
         self.models[model].copies.push((runner, 0.0));
-        self.place(model);
+        self.assign_demand(model);
     }
 
-    fn drop_copy(&mut self, model: usize, runner: usize) {
-        self.lift(model);
+    fn remove_copy(&mut self, model: usize, runner: usize) {
+        self.remove_demand(model);
         self.models[model]
             .copies
-            .retain(|(holder, _)| *holder != runner);
-        self.place(model);
+            .retain(|(copy_runner, _)| *copy_runner != runner);
+        self.assign_demand(model);
     }
 
     /// The cost of some runners, and of models that nobody holds.
-    fn cost(&self, runners: &[usize], load: usize, drop: &[usize]) -> f64 {
+    fn cost(&self, runners: &[usize], load: usize, unload: &[usize]) -> f64 {
         let of_runners = runners.iter().map(|runner| self.runners[*runner].cost());
-        let models = drop.iter().chain([&load]).map(|model| &self.models[*model]);
+        let models = unload
+            .iter()
+            .chain([&load])
+            .map(|model| &self.models[*model]);
         let of_missing = models
             .filter(|model| model.copies.is_empty())
-            .map(|model| model.demand.requests_per_s + model.demand.reach_per_s);
+            .map(|model| model.demand.requests_per_s + model.demand.missing_cost_per_s);
         of_runners.sum::<f64>() + of_missing.sum::<f64>()
     }
 
     /// The runners that a change bears on.
-    fn touched(&self, runner: usize, load: usize, drop: &[usize]) -> Vec<usize> {
-        let models = drop.iter().chain([&load]);
+    fn affected_runners(&self, runner: usize, load: usize, unload: &[usize]) -> Vec<usize> {
+        let models = unload.iter().chain([&load]);
         let copies = models.flat_map(|model| &self.models[*model].copies);
-        let mut touched: Vec<usize> = copies.map(|(holder, _)| *holder).collect();
-        touched.push(runner);
-        touched.sort_unstable();
-        touched.dedup();
-        touched
+        let mut affected: Vec<usize> = copies.map(|(copy_runner, _)| *copy_runner).collect();
+        affected.push(runner);
+        affected.sort_unstable();
+        affected.dedup();
+        affected
     }
 
-    fn clone_touched(&self, load: usize, drop: &[usize]) -> Saved {
-        let models = drop.iter().chain([&load]);
-        Saved {
+    fn save_affected(&self, load: usize, unload: &[usize]) -> SavedState {
+        let models = unload.iter().chain([&load]);
+        SavedState {
             models: models
                 .map(|model| (*model, self.models[*model].copies.clone()))
                 .collect(),
@@ -201,7 +208,7 @@
         }
     }
 
-    fn restore(&mut self, saved: Saved) {
+    fn restore(&mut self, saved: SavedState) {
         for (model, copies) in saved.models {
             self.models[model].copies = copies;
         }
@@ -209,52 +216,53 @@
     }
 
     /// Takes a model's demand off its runners.
-    fn lift(&mut self, model: usize) {
-        let SpreadModel { demand, copies } = &mut self.models[model];
-        for (runner, part) in copies {
+    fn remove_demand(&mut self, model: usize) {
+        let ModelCopies { demand, copies } = &mut self.models[model];
+        for (runner, fraction) in copies {
             let load = &mut self.runners[*runner];
-            load.runners = (load.runners - *part * demand.runners).max(0.0);
-            load.requests_per_s = (load.requests_per_s - *part * demand.requests_per_s).max(0.0);
-            *part = 0.0;
+            load.utilisation = (load.utilisation - *fraction * demand.busy_runners).max(0.0);
+            load.requests_per_s =
+                (load.requests_per_s - *fraction * demand.requests_per_s).max(0.0);
+            *fraction = 0.0;
         }
     }
 
     /// Puts a model's demand onto its runners so that it levels them as far as it reaches.
-    fn place(&mut self, model: usize) {
-        let SpreadModel { demand, copies } = &mut self.models[model];
+    fn assign_demand(&mut self, model: usize) {
+        let ModelCopies { demand, copies } = &mut self.models[model];
         if copies.is_empty() {
             return;
         }
         copies.sort_by(|left, right| {
-            let load = |copy: &(usize, f64)| self.runners[copy.0].runners;
+            let load = |copy: &(usize, f64)| self.runners[copy.0].utilisation;
             load(left).total_cmp(&load(right))
         });
-        let level = level_of(
-            copies.iter().map(|copy| self.runners[copy.0].runners),
-            demand.runners,
+        let level = water_fill_level(
+            copies.iter().map(|copy| self.runners[copy.0].utilisation),
+            demand.busy_runners,
         );
         let equal = 1.0 / copies.len() as f64;
-        for (runner, part) in copies {
+        for (runner, fraction) in copies {
             let load = &mut self.runners[*runner];
-            *part = if demand.runners > 0.0 {
-                (level - load.runners).max(0.0) / demand.runners
+            *fraction = if demand.busy_runners > 0.0 {
+                (level - load.utilisation).max(0.0) / demand.busy_runners
             } else {
                 equal
             };
-            load.runners += *part * demand.runners;
-            load.requests_per_s += *part * demand.requests_per_s;
+            load.utilisation += *fraction * demand.busy_runners;
+            load.requests_per_s += *fraction * demand.requests_per_s;
         }
     }
 }
 
 /// What a change bears on, as it was.
-struct Saved {
+struct SavedState {
     models: Vec<(usize, Vec<(usize, f64)>)>,
-    runners: Vec<Load>,
+    runners: Vec<RunnerLoad>,
 }
 
 /// The level that loads, lowest first, reach when `demand` is poured onto them.
-fn level_of(loads: impl Iterator<Item = f64>, demand: f64) -> f64 {
+fn water_fill_level(loads: impl Iterator<Item = f64>, demand: f64) -> f64 {
     let mut sum = demand;
     let mut level = 0.0;
     for (count, load) in loads.enumerate() {
--- a/src/gateway/swaps.rs
+++ b/src/gateway/swaps.rs
@@ -4,8 +4,8 @@
 //! and then, and which these are changes within seconds. A swap is made where the requests that
 //! the new copy answers in time, from when it is there, exceed what the dropped ones answered.
 
-use crate::gateway::planning::{Planning, RunnerView, Steps, whole};
-use crate::gateway::spread::{ModelDemand, Spread, Worth};
+use crate::gateway::planning::{PlacementPlanner, RunnerPlan, RunnerView, model_weights};
+use crate::gateway::spread::{DemandSpread, ModelDemand, SwapValue};
 use crate::gateway::{Model, Weights};
 use crate::inventory::Name;
 use std::collections::HashMap;
@@ -15,128 +15,130 @@
 /// demand of equal models differ, so that they do not take turns.
 const MIN_GAIN_PER_S: f64 = 0.3;
 /// The same for a model that no runner holds.
-const MIN_FIRST_GAIN_PER_S: f64 = 0.02;
+const MIN_FIRST_COPY_GAIN_PER_S: f64 = 0.02;
 /// What a load from the weight store costs, in requests a second: a third of a request's worth
 /// over the time for which demand stays.
-const COLD_COST_PER_S: f64 = 0.03;
+const COLD_LOAD_COST_PER_S: f64 = 0.03;
 /// What the loss of a copy that adapters need costs, in requests a second.
-const ADAPTER_LACK_PER_S: f64 = 0.1;
+const ADAPTER_SHORTAGE_COST_PER_S: f64 = 0.1;
 /// What is taken to be lost, in requests a second, while nobody holds a model that was asked for
 /// lately, and one that was not: those that come for it are to be served as well.
-const ASKED_REACH_PER_S: f64 = 0.3;
-const IDLE_REACH_PER_S: f64 = 0.05;
+const REQUESTED_MISSING_COST_PER_S: f64 = 0.3;
+const IDLE_MISSING_COST_PER_S: f64 = 0.05;
 /// The same for each request that waits for a model that nobody holds.
-const WAITING_REACH_PER_S: f64 = 0.5;
+const WAITING_MISSING_COST_PER_S: f64 = 0.5;
 /// How long demand stays with a model on average, in milliseconds: a copy that is there later
 /// meets less of it.
-const DEMAND_STAYS_MS: f64 = 12_000.0;
+const DEMAND_LIFETIME_MS: f64 = 12_000.0;
 /// What it costs, in requests a second, that a runner takes no other order for a second: what
 /// it has at hand may be wanted meanwhile, and a load from the weight store takes many seconds.
 const BUSY_COST_PER_S: f64 = 0.1;
 /// How much later a copy is there if others make room for it that have requests under way, in
 /// milliseconds: half of a usual stream.
-const DROP_WAIT_MS: f64 = 1_000.0;
+const UNLOAD_WAIT_MS: f64 = 1_000.0;
 /// The part of the runners on which swaps may be under way: each takes a runner's copy away.
-const SWAP_SHARE: f64 = 0.75;
+const MAX_SWAPPING_SHARE: f64 = 0.75;
 /// Loads from the weight store that filling a runner leaves to models that are missed.
-const FILL_RESERVE: usize = 4;
+const RESERVED_COLD_LOADS: usize = 4;
 /// Models and runners that are looked at for one swap: those that lose most, and those with the
 /// least to do; bounds the work of a plan in a large fleet.
-const MAX_MODELS: usize = 6;
-const MAX_RUNNERS: usize = 8;
+const MAX_CANDIDATE_MODELS: usize = 6;
+const MAX_CANDIDATE_RUNNERS: usize = 8;
 
 /// Plans swaps over the demand as it spreads now.
-pub(super) struct Swaps<'a> {
-    planning: &'a Planning<'a>,
-    spread: Spread,
-    places: HashMap<&'a Name, usize>,
+pub(super) struct SwapPlanner<'a> {
+    planner: &'a PlacementPlanner<'a>,
+    spread: DemandSpread,
+    model_indices: HashMap<&'a Name, usize>,
 }
 
 /// A swap on one runner with what it gains, in requests a second.
 struct Swap {
     net_per_s: f64,
-    worth: Worth,
+    value: SwapValue,
     runner: usize,
     load: usize,
-    drop: Vec<usize>,
+    unload: Vec<usize>,
     is_cold: bool,
 }
 
-impl<'a> Swaps<'a> {
+impl<'a> SwapPlanner<'a> {
     /// Spreads the demand over the copies that there are or will be.
-    pub(super) fn new(planning: &'a Planning<'a>) -> Self {
-        let models = &planning.engine.models;
-        let places: HashMap<&Name, usize> = models
+    pub(super) fn new(planner: &'a PlacementPlanner<'a>) -> Self {
+        let models = &planner.engine.models;
+        let model_indices: HashMap<&Name, usize> = models
             .iter()
             .enumerate()
-            .map(|(place, model)| (&model.name, place))
+            .map(|(index, model)| (&model.name, index))
             .collect();
         let mut demands: Vec<ModelDemand> = models
             .iter()
             .map(|model| ModelDemand {
-                reach_per_s: reach_per_s(planning.asked.contains(&model.name)),
+                missing_cost_per_s: missing_cost_per_s(
+                    planner.recently_requested.contains(&model.name),
+                ),
                 ..ModelDemand::default()
             })
             .collect();
-        for (weights, rate) in planning.demand {
-            if let Some(place) = places.get(&weights.model) {
-                let demand = &mut demands[*place];
-                demand.reach_per_s += f64::from(rate.waiting) * WAITING_REACH_PER_S;
-                demand.runners += rate.busy_ms_per_s / 1_000.0;
+        for (weights, rate) in planner.demand {
+            if let Some(index) = model_indices.get(&weights.model) {
+                let demand = &mut demands[*index];
+                demand.missing_cost_per_s += f64::from(rate.waiting) * WAITING_MISSING_COST_PER_S;
+                demand.busy_runners += rate.busy_ms_per_s / 1_000.0;
                 demand.requests_per_s += rate.requests_per_s;
             }
         }
-        let mut holders = vec![Vec::new(); models.len()];
-        for (runner, view) in planning.runners.iter().enumerate() {
-            for model in view.models.iter().chain(&view.coming) {
-                if let Some(place) = places.get(model) {
-                    holders[*place].push(runner);
+        let mut copy_runners = vec![Vec::new(); models.len()];
+        for (runner, view) in planner.runners.iter().enumerate() {
+            for model in view.models.iter().chain(&view.loading) {
+                if let Some(index) = model_indices.get(model) {
+                    copy_runners[*index].push(runner);
                 }
             }
         }
         Self {
-            spread: Spread::new(demands, &holders, planning.runners.len()),
-            planning,
-            places,
+            spread: DemandSpread::new(demands, &copy_runners, planner.runners.len()),
+            planner,
+            model_indices,
         }
     }
 
     /// Makes the swaps that gain most, one after the other, then fills runners with room left.
-    pub(super) fn plan(mut self, steps: &mut HashMap<Name, Steps>) {
-        let runners = self.planning.runners;
-        let under_way = runners.iter().filter(|it| it.coming.is_some()).count();
-        let max_swaps = (runners.len() as f64 * SWAP_SHARE).ceil() as usize;
-        let mut cold_loads = self.planning.cold_loads;
-        for _ in under_way..max_swaps {
-            let Some(swap) = self.best(steps, cold_loads) else {
+    pub(super) fn plan(mut self, plans: &mut HashMap<Name, RunnerPlan>) {
+        let runners = self.planner.runners;
+        let in_progress = runners.iter().filter(|it| it.loading.is_some()).count();
+        let max_swaps = (runners.len() as f64 * MAX_SWAPPING_SHARE).ceil() as usize;
+        let mut cold_loads = self.planner.cold_loads;
+        for _ in in_progress..max_swaps {
+            let Some(swap) = self.best_swap(plans, cold_loads) else {
                 break;
             };
             cold_loads -= usize::from(swap.is_cold);
-            self.log(&swap);
-            self.carry_out(swap, steps);
+            self.log_swap(&swap);
+            self.commit(swap, plans);
         }
-        self.fill(steps, cold_loads);
+        self.fill_free_memory(plans, cold_loads);
     }
 
     /// The swap that gains most, if it gains enough.
-    fn best(&mut self, steps: &HashMap<Name, Steps>, cold_loads: usize) -> Option<Swap> {
-        let mut losing: Vec<(f64, usize)> = (0..self.planning.engine.models.len())
-            .map(|model| (self.spread.lost(model), model))
-            .filter(|(lost, _)| *lost >= MIN_FIRST_GAIN_PER_S)
+    fn best_swap(&mut self, plans: &HashMap<Name, RunnerPlan>, cold_loads: usize) -> Option<Swap> {
+        let mut candidates: Vec<(f64, usize)> = (0..self.planner.engine.models.len())
+            .map(|model| (self.spread.lost_per_s(model), model))
+            .filter(|(lost, _)| *lost >= MIN_FIRST_COPY_GAIN_PER_S)
             .collect();
-        losing.sort_by(|left, right| right.0.total_cmp(&left.0));
-        losing.truncate(MAX_MODELS);
+        candidates.sort_by(|left, right| right.0.total_cmp(&left.0));
+        candidates.truncate(MAX_CANDIDATE_MODELS);
         let mut best: Option<Swap> = None;
-        for (_, model) in losing {
-            for runner in self.free_runners(model, steps) {
+        for (_, model) in candidates {
+            for runner in self.free_runners(model, plans) {
                 let is_cold = self.is_cold(model, runner);
                 if is_cold && cold_loads == 0 {
                     continue;
                 }
-                for drop in self.drops(model, runner) {
-                    let swap = self.weigh(model, runner, drop);
+                for unload in self.unload_candidates(model, runner) {
+                    let swap = self.evaluate(model, runner, unload);
                     let is_better = |best: &Swap| swap.net_per_s > best.net_per_s;
-                    if self.is_enough(&swap) && best.as_ref().is_none_or(is_better) {
+                    if self.gains_enough(&swap) && best.as_ref().is_none_or(is_better) {
                         best = Some(swap);
                     }
                 }
@@ -147,36 +149,42 @@
 
     /// Whether a swap gains enough; a model that nobody holds is loaded where that costs
     /// others less than it gains, however long it takes.
-    fn is_enough(&self, swap: &Swap) -> bool {
-        match self.spread.copies(swap.load) {
-            0 => swap.worth.gain - swap.worth.loss >= MIN_FIRST_GAIN_PER_S,
+    fn gains_enough(&self, swap: &Swap) -> bool {
+        match self.spread.copy_count(swap.load) {
+            0 => swap.value.gain - swap.value.loss >= MIN_FIRST_COPY_GAIN_PER_S,
             _ => swap.net_per_s >= MIN_GAIN_PER_S,
         }
     }
 
-    fn weigh(&mut self, load: usize, runner: usize, drop: Vec<usize>) -> Swap {
-        let worth = self.spread.worth(runner, load, &drop);
+    fn evaluate(&mut self, load: usize, runner: usize, unload: Vec<usize>) -> Swap {
+        let value = self.spread.swap_value(runner, load, &unload);
         let is_cold = self.is_cold(load, runner);
-        let after_ms = self.there_after_ms(load, runner, &drop);
-        let met = (-after_ms / DEMAND_STAYS_MS).exp();
-        let busy = after_ms / 1_000.0 * BUSY_COST_PER_S;
-        let cold = if is_cold { COLD_COST_PER_S } else { 0.0 };
-        let lacks = drop.iter().filter(|model| self.lacks_adapters(**model));
-        let lack = lacks.count() as f64 * ADAPTER_LACK_PER_S;
+        let wait_ms = self.ready_in_ms(load, runner, &unload);
+        let remaining_demand = (-wait_ms / DEMAND_LIFETIME_MS).exp();
+        let busy_cost = wait_ms / 1_000.0 * BUSY_COST_PER_S;
+        let cold_cost = if is_cold { COLD_LOAD_COST_PER_S } else { 0.0 };
+        let needed = unload
+            .iter()
+            .filter(|model| self.is_needed_for_adapters(**model));
+        let shortage_cost = needed.count() as f64 * ADAPTER_SHORTAGE_COST_PER_S;
         Swap {
-            net_per_s: worth.gain * met - worth.loss - busy - cold - lack,
-            worth,
+            net_per_s: value.gain * remaining_demand
+                - value.loss
+                - busy_cost
+                - cold_cost
+                - shortage_cost,
+            value,
             runner,
             load,
-            drop,
+            unload,
             is_cold,
         }
     }
 
     /// When a copy can be there, in milliseconds from now.
-    fn there_after_ms(&self, load: usize, runner: usize, drop: &[usize]) -> f64 {
+    fn ready_in_ms(&self, load: usize, runner: usize, unload: &[usize]) -> f64 {
         let model = self.model(load);
-        let view = &self.planning.runners[runner];
+        let view = &self.planner.runners[runner];
         let load_ms = if view.in_memory.contains(&model.name) {
             model.warm_ms
         } else if view.on_disk.contains(&model.name) {
@@ -184,48 +192,53 @@
         } else {
             model.load_ms
         };
-        let is_under_way = |model: &&usize| {
+        let has_in_flight = |model: &&usize| {
             let name = &self.model(**model).name;
             view.in_flight.get(name).is_some_and(|count| *count > 0)
         };
-        let waits = drop.iter().any(|model| is_under_way(&model));
-        load_ms as f64 + if waits { DROP_WAIT_MS } else { 0.0 }
+        let must_wait = unload.iter().any(|model| has_in_flight(&model));
+        load_ms as f64 + if must_wait { UNLOAD_WAIT_MS } else { 0.0 }
     }
 
     /// Whether copies beyond these are needed for all adapters to have a place.
-    fn lacks_adapters(&self, model: usize) -> bool {
-        self.spread.copies(model) <= self.planning.copies_for_adapters(self.model(model))
+    fn is_needed_for_adapters(&self, model: usize) -> bool {
+        self.spread.copy_count(model) <= self.planner.min_copies_for_adapters(self.model(model))
     }
 
     /// Runners that can load a model, those first that have the least to do: some that have it
     /// at hand and some that have not.
-    fn free_runners(&self, model: usize, steps: &HashMap<Name, Steps>) -> Vec<usize> {
+    fn free_runners(&self, model: usize, plans: &HashMap<Name, RunnerPlan>) -> Vec<usize> {
         let name = &self.model(model).name;
-        let runners = self.planning.runners.iter().enumerate();
+        let runners = self.planner.runners.iter().enumerate();
         let free = runners.filter(|(_, view)| {
-            view.is_free() && !view.models.contains(name) && !steps.contains_key(&view.id)
+            view.is_free() && !view.models.contains(name) && !plans.contains_key(&view.id)
         });
         let mut free: Vec<usize> = free.map(|(runner, _)| runner).collect();
         let load = |runner: &usize| self.spread.load(*runner);
         free.sort_by(|left, right| load(left).total_cmp(&load(right)));
-        let (mut at_hand, mut cold): (Vec<usize>, Vec<usize>) = free
+        let (mut cached, mut cold): (Vec<usize>, Vec<usize>) = free
             .into_iter()
             .partition(|runner| !self.is_cold(model, *runner));
-        at_hand.truncate(MAX_RUNNERS);
-        cold.truncate(MAX_RUNNERS);
-        at_hand.extend(cold);
-        at_hand
+        cached.truncate(MAX_CANDIDATE_RUNNERS);
+        cold.truncate(MAX_CANDIDATE_RUNNERS);
+        cached.extend(cold);
+        cached
     }
 
     /// The sets of models that could make room for one on a runner.
-    fn drops(&self, load: usize, runner: usize) -> Vec<Vec<usize>> {
-        let view = &self.planning.runners[runner];
-        let needed_mb = self.model(load).weights_mb - self.planning.free_mb(view);
+    fn unload_candidates(&self, load: usize, runner: usize) -> Vec<Vec<usize>> {
+        let view = &self.planner.runners[runner];
+        let needed_mb = self.model(load).weights_mb - self.planner.free_mb(view);
         if needed_mb <= 0.0 {
             return vec![Vec::new()];
         }
-        let held = view.models.iter().filter(|it| !view.settling.contains(it));
-        let mut held: Vec<usize> = held.filter_map(|it| self.places.get(it).copied()).collect();
+        let held = view
+            .models
+            .iter()
+            .filter(|it| !view.recently_loaded.contains(it));
+        let mut held: Vec<usize> = held
+            .filter_map(|it| self.model_indices.get(it).copied())
+            .collect();
         let single: Vec<Vec<usize>> = held
             .iter()
             .filter(|model| self.model(**model).weights_mb >= needed_mb)
@@ -240,95 +253,95 @@
                 .total_cmp(&self.spread.demand(*right))
         });
         let mut freed_mb = 0.0;
-        let mut drop = Vec::new();
+        let mut unload = Vec::new();
         for model in held {
             freed_mb += self.model(model).weights_mb;
-            drop.push(model);
+            unload.push(model);
             if freed_mb >= needed_mb {
-                return vec![drop];
+                return vec![unload];
             }
         }
         Vec::new()
     }
 
     /// Fills runners that have room left with the model that gains most there.
-    fn fill(&mut self, steps: &mut HashMap<Name, Steps>, mut cold_loads: usize) {
-        for runner in 0..self.planning.runners.len() {
-            let view = &self.planning.runners[runner];
-            if !view.is_free() || steps.contains_key(&view.id) {
+    fn fill_free_memory(&mut self, plans: &mut HashMap<Name, RunnerPlan>, mut cold_loads: usize) {
+        for runner in 0..self.planner.runners.len() {
+            let view = &self.planner.runners[runner];
+            if !view.is_free() || plans.contains_key(&view.id) {
                 continue;
             }
-            let free_mb = self.planning.free_mb(view);
+            let free_mb = self.planner.free_mb(view);
             let mut best: Option<Swap> = None;
-            for model in 0..self.planning.engine.models.len() {
+            for model in 0..self.planner.engine.models.len() {
                 let known = self.model(model);
                 let fits = free_mb >= known.weights_mb && !view.models.contains(&known.name);
-                if !fits || (self.is_cold(model, runner) && cold_loads <= FILL_RESERVE) {
+                if !fits || (self.is_cold(model, runner) && cold_loads <= RESERVED_COLD_LOADS) {
                     continue;
                 }
-                let swap = self.weigh(model, runner, Vec::new());
+                let swap = self.evaluate(model, runner, Vec::new());
                 let rank =
-                    |swap: &Swap| (swap.net_per_s, !swap.is_cold, self.needs_copies(swap.load));
+                    |swap: &Swap| (swap.net_per_s, !swap.is_cold, self.lacks_copies(swap.load));
                 if best.as_ref().is_none_or(|best| rank(&swap) > rank(best)) {
                     best = Some(swap);
                 }
             }
             if let Some(swap) = best {
                 cold_loads -= usize::from(swap.is_cold);
-                self.carry_out(swap, steps);
+                self.commit(swap, plans);
             }
         }
     }
 
-    fn needs_copies(&self, model: usize) -> bool {
-        self.spread.copies(model) < self.planning.copies_for_adapters(self.model(model))
+    fn lacks_copies(&self, model: usize) -> bool {
+        self.spread.copy_count(model) < self.planner.min_copies_for_adapters(self.model(model))
     }
 
-    fn carry_out(&mut self, swap: Swap, steps: &mut HashMap<Name, Steps>) {
-        self.spread.change(swap.runner, swap.load, &swap.drop);
-        let name = |model: usize| whole(self.model(model).name.clone());
-        let drop: Vec<Weights> = swap.drop.iter().map(|model| name(*model)).collect();
-        let of_runner = Steps {
-            drop,
+    fn commit(&mut self, swap: Swap, plans: &mut HashMap<Name, RunnerPlan>) {
+        self.spread.apply_swap(swap.runner, swap.load, &swap.unload);
+        let name = |model: usize| model_weights(self.model(model).name.clone());
+        let unload: Vec<Weights> = swap.unload.iter().map(|model| name(*model)).collect();
+        let of_runner = RunnerPlan {
+            unload,
             load: vec![name(swap.load)],
             is_cold: swap.is_cold,
         };
-        let id = self.planning.runners[swap.runner].id.clone();
-        steps.insert(id, of_runner);
+        let id = self.planner.runners[swap.runner].id.clone();
+        plans.insert(id, of_runner);
     }
 
     /// Tells what decided.
-    fn log(&self, swap: &Swap) {
-        let dropped = swap.drop.iter().map(|model| &*self.model(*model).name);
+    fn log_swap(&self, swap: &Swap) {
+        let unloaded = swap.unload.iter().map(|model| &*self.model(*model).name);
         info!(
-            server = %self.planning.runners[swap.runner].id,
+            server = %self.planner.runners[swap.runner].id,
             model = %self.model(swap.load).name,
-            dropped = dropped.collect::<Vec<_>>().join(","),
+            dropped = unloaded.collect::<Vec<_>>().join(","),
             net_per_s = swap.net_per_s,
-            gain_per_s = swap.worth.gain,
-            loss_per_s = swap.worth.loss,
+            gain_per_s = swap.value.gain,
+            loss_per_s = swap.value.loss,
             demand_runners = self.spread.demand(swap.load),
-            copies = self.spread.copies(swap.load),
+            copies = self.spread.copy_count(swap.load),
             runner_load = self.spread.load(swap.runner),
             is_cold = swap.is_cold,
             "swap planned"
         );
     }
 
-    fn model(&self, place: usize) -> &'a Model {
-        &self.planning.engine.models[place]
+    fn model(&self, index: usize) -> &'a Model {
+        &self.planner.engine.models[index]
     }
 
     fn is_cold(&self, model: usize, runner: usize) -> bool {
-        let view: &RunnerView = &self.planning.runners[runner];
-        !view.has_at_hand(&self.model(model).name)
+        let view: &RunnerView = &self.planner.runners[runner];
+        !view.has_cached(&self.model(model).name)
     }
 }
 
-fn reach_per_s(is_asked: bool) -> f64 {
-    if is_asked {
-        ASKED_REACH_PER_S
+fn missing_cost_per_s(is_requested: bool) -> f64 {
+    if is_requested {
+        REQUESTED_MISSING_COST_PER_S
     } else {
-        IDLE_REACH_PER_S
+        IDLE_MISSING_COST_PER_S
     }
 }
--- a/src/gateway/tests/order_dispatch.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -1,7 +1,7 @@
 //! Orders never fill a runner beyond its room, whatever else is under way there.
 
 use crate::gateway::fleet::{Entry, Holding, ServerState};
-use crate::gateway::order_dispatch::Ordering;
+use crate::gateway::order_dispatch::OrderDispatcher;
 use crate::gateway::state::State;
 use crate::gateway::tests::state;
 use crate::gateway::{
@@ -16,10 +16,10 @@
 
 const SERVER: &str = "i-1";
 /// Room of the runner, and the size of each model: one fits.
-const ROOM_MB: f64 = 10_000.0;
+const CAPACITY_MB: f64 = 10_000.0;
 const TICK: Duration = Duration::from_millis(20);
 /// How old a runner's account is.
-const LAG: Duration = Duration::from_millis(200);
+const REPORT_LAG: Duration = Duration::from_millis(200);
 
 /// A runner with room for one model.
 #[derive(Debug, Default)]
@@ -27,37 +27,38 @@
     held: Vec<Name>,
     orders: u64,
     /// What it was at each change, with the moment.
-    past: Vec<(Instant, RunnerReport)>,
+    history: Vec<(Instant, RunnerReport)>,
     /// The order in progress, whether it is a load, and when it is complete.
-    at_work: Option<(Name, bool, Instant)>,
+    order_in_progress: Option<(Name, bool, Instant)>,
     /// How long loads and drops take.
     load_time: Duration,
-    drop_time: Duration,
+    unload_time: Duration,
     /// A load that another holder orders just before the next order of this one.
-    other_load: Option<Name>,
+    competing_load: Option<Name>,
     /// Orders that met another one in progress, or another number of orders.
     conflicts: usize,
-    most_held: usize,
+    max_held: usize,
     /// Accounts that do not come.
-    missed: usize,
+    missing_reports: usize,
 }
 
 impl Runner {
-    fn catch_up(&mut self) {
+    fn complete_order(&mut self) {
         let now = Instant::now();
-        let Some((model, is_load, at)) = self.at_work.take_if(|(_, _, at)| *at <= now) else {
+        let Some((model, is_load, at)) = self.order_in_progress.take_if(|(_, _, at)| *at <= now)
+        else {
             return;
         };
         match is_load {
             true => self.held.push(model),
             false => self.held.retain(|held| *held != model),
         }
-        self.most_held = self.most_held.max(self.held.len());
-        self.note(at);
+        self.max_held = self.max_held.max(self.held.len());
+        self.record_state(at);
     }
 
     /// Notes what it is from `at` on.
-    fn note(&mut self, at: Instant) {
+    fn record_state(&mut self, at: Instant) {
         let holdings = self.held.iter().map(|model| Holding {
             model: model.clone(),
             version: 1,
@@ -65,45 +66,45 @@
         });
         let report = RunnerReport {
             holdings: holdings.collect(),
-            is_busy: self.at_work.is_some(),
+            is_busy: self.order_in_progress.is_some(),
             orders: self.orders,
             started_ms: 1,
             coming: Vec::new(),
         };
-        self.past.push((at, report));
+        self.history.push((at, report));
     }
 
     /// Its account, as of a moment ago.
     fn report(&mut self) -> Option<RunnerReport> {
-        self.catch_up();
-        if self.missed > 0 {
-            self.missed -= 1;
+        self.complete_order();
+        if self.missing_reports > 0 {
+            self.missing_reports -= 1;
             return None;
         }
-        let asked_at = Instant::now() - LAG;
-        let mut past = self.past.iter().rev();
-        let (_, report) = past.find(|(at, _)| *at <= asked_at)?;
+        let reported_at = Instant::now() - REPORT_LAG;
+        let mut history = self.history.iter().rev();
+        let (_, report) = history.find(|(at, _)| *at <= reported_at)?;
         Some(report.clone())
     }
 
     fn accept(&mut self, model: Name, is_load: bool) {
         let time = match is_load {
             true => self.load_time,
-            false => self.drop_time,
+            false => self.unload_time,
         };
         self.orders += 1;
         let now = Instant::now();
-        self.at_work = Some((model, is_load, now + time));
-        self.note(now);
+        self.order_in_progress = Some((model, is_load, now + time));
+        self.record_state(now);
     }
 
-    fn take(&mut self, order: &Order<'_>) -> OrderOutcome {
-        if let Some(other) = self.other_load.take() {
+    fn receive_order(&mut self, order: &Order<'_>) -> OrderOutcome {
+        if let Some(other) = self.competing_load.take() {
             self.accept(other, true);
         }
-        self.catch_up();
+        self.complete_order();
         let model = &order.weights.model;
-        if self.at_work.is_some() || order.expected_orders != Some(self.orders) {
+        if self.order_in_progress.is_some() || order.expected_orders != Some(self.orders) {
             self.conflicts += 1;
             return OrderOutcome::Busy;
         }
@@ -125,14 +126,14 @@
     }
 
     async fn order(&self, _: SocketAddr, order: &Order<'_>) -> OrderOutcome {
-        self.0.borrow_mut().take(order)
+        self.0.borrow_mut().receive_order(order)
     }
 }
 
 fn model(name: &str) -> Model {
     Model {
         name: name.into(),
-        weights_mb: ROOM_MB,
+        weights_mb: CAPACITY_MB,
         load_ms: 300,
         warm_ms: 300,
         disk_ms: 300,
@@ -143,7 +144,7 @@
 
 fn configuration() -> Configuration {
     let engine = Engine {
-        weights_mb: ROOM_MB,
+        weights_mb: CAPACITY_MB,
         slots: 4,
         adapter_slots: 0,
         loads_per_s: 10.0,
@@ -172,7 +173,7 @@
     }
 }
 
-fn take(state: &State, change: ServerChange) {
+fn apply_change(state: &State, change: ServerChange) {
     let changes = Changes {
         items: vec![change],
         next: 0,
@@ -181,63 +182,66 @@
 }
 
 /// A holder of the claim with one listed runner.
-fn holder(control: &Control) -> (Rc<State>, Rc<Ordering<Control>>) {
+fn leader(control: &Control) -> (Rc<State>, Rc<OrderDispatcher<Control>>) {
     let state = Rc::new(state());
     state.take_configuration(configuration());
-    take(&state, ServerChange::Here(entry()));
-    let ordering = Ordering::new(state.clone(), control.clone());
-    ordering.start(1);
-    control.0.borrow_mut().note(Instant::now() - LAG);
-    (state, ordering)
+    apply_change(&state, ServerChange::Here(entry()));
+    let dispatcher = OrderDispatcher::new(state.clone(), control.clone());
+    dispatcher.start(1);
+    control
+        .0
+        .borrow_mut()
+        .record_state(Instant::now() - REPORT_LAG);
+    (state, dispatcher)
 }
 
-async fn tick(ordering: &Rc<Ordering<Control>>, times: usize) {
+async fn tick(dispatcher: &Rc<OrderDispatcher<Control>>, times: usize) {
     for _ in 0..times {
-        ordering.tick();
+        dispatcher.tick();
         compio::time::sleep(TICK).await;
     }
 }
 
 #[compio::test]
-async fn a_load_waits_for_what_an_earlier_holder_ordered() {
+async fn a_load_waits_for_the_order_of_an_earlier_leader() {
     let control = Control::default();
     {
         let mut runner = control.0.borrow_mut();
         runner.load_time = Duration::from_millis(600);
         // Not the model that is planned for the empty runner.
-        runner.other_load = Some("b".into());
+        runner.competing_load = Some("b".into());
     }
-    let (_state, ordering) = holder(&control);
-    tick(&ordering, 100).await;
+    let (_state, dispatcher) = leader(&control);
+    tick(&dispatcher, 100).await;
     let runner = control.0.borrow();
     assert!(runner.orders > 0);
-    assert!(runner.most_held <= 1, "{runner:?}");
+    assert!(runner.max_held <= 1, "{runner:?}");
 }
 
 #[compio::test]
-async fn a_runner_whose_entry_lapsed_while_it_works_is_given_no_second_order() {
+async fn a_runner_whose_entry_lapses_during_an_order_gets_no_second_order() {
     let control = Control::default();
     {
         let mut runner = control.0.borrow_mut();
         runner.held.push("a".into());
         runner.load_time = Duration::from_millis(300);
-        runner.drop_time = Duration::from_millis(800);
+        runner.unload_time = Duration::from_millis(800);
     }
-    let (state, ordering) = holder(&control);
+    let (state, dispatcher) = leader(&control);
     let wanted = Weights {
         model: "b".into(),
         adapter: None,
     };
     let _waiting = state.wait_for(&wanted);
-    tick(&ordering, 10).await;
+    tick(&dispatcher, 10).await;
     assert_eq!(control.0.borrow().orders, 1, "the drop is under way");
-    take(&state, ServerChange::Gone(SERVER.into()));
+    apply_change(&state, ServerChange::Gone(SERVER.into()));
     state.forget_lapsed(Instant::now());
     assert!(state.fleet.server(SERVER).is_none());
-    tick(&ordering, 2).await;
-    tick(&ordering, 5).await;
-    take(&state, ServerChange::Here(entry()));
-    tick(&ordering, 80).await;
+    tick(&dispatcher, 2).await;
+    tick(&dispatcher, 5).await;
+    apply_change(&state, ServerChange::Here(entry()));
+    tick(&dispatcher, 80).await;
     let runner = control.0.borrow();
     assert_eq!(runner.conflicts, 0, "{runner:?}");
     assert_eq!(runner.held, ["b".into()] as [Name; 1]);
@@ -245,33 +249,33 @@
 
 /// Whether the holder knew what the runner holds at each look, while so many of its accounts did not
 /// come in the course of a drop.
-async fn is_known_throughout(missed: usize) -> bool {
+async fn is_state_known_throughout(missing_reports: usize) -> bool {
     let control = Control::default();
     {
         let mut runner = control.0.borrow_mut();
         runner.held.push("a".into());
         runner.load_time = Duration::from_millis(300);
-        runner.drop_time = Duration::from_millis(800);
+        runner.unload_time = Duration::from_millis(800);
     }
-    let (state, ordering) = holder(&control);
+    let (state, dispatcher) = leader(&control);
     let wanted = Weights {
         model: "b".into(),
         adapter: None,
     };
     let _waiting = state.wait_for(&wanted);
-    tick(&ordering, 10).await;
-    control.0.borrow_mut().missed = missed;
+    tick(&dispatcher, 10).await;
+    control.0.borrow_mut().missing_reports = missing_reports;
     let mut is_known = true;
     for _ in 0..60 {
-        tick(&ordering, 1).await;
+        tick(&dispatcher, 1).await;
         is_known &= !state.leader_view.borrow().is_empty();
     }
-    assert_eq!(control.0.borrow().missed, 0);
+    assert_eq!(control.0.borrow().missing_reports, 0);
     is_known
 }
 
 #[compio::test]
-async fn one_account_that_does_not_come_leaves_a_runner_in_the_plan() {
-    assert!(is_known_throughout(1).await);
-    assert!(!is_known_throughout(3).await);
+async fn one_missing_report_leaves_a_runner_in_the_plan() {
+    assert!(is_state_known_throughout(1).await);
+    assert!(!is_state_known_throughout(3).await);
 }
--- a/src/gateway/tests/planning.rs
+++ b/src/gateway/tests/planning.rs
@@ -1,7 +1,7 @@
 //! Placement: what a plan asks of a runner always fits it.
 
 use crate::gateway::peers::WantedRate;
-use crate::gateway::planning::{Planning, RunnerView, Steps};
+use crate::gateway::planning::{PlacementPlanner, RunnerPlan, RunnerView};
 use crate::gateway::{Engine, Model, Weights};
 use crate::inventory::Name;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 
 const SLOTS: u32 = 5;
 /// How long a request keeps a runner busy.
-const MS_A_REQUEST: f64 = 50.0;
+const MS_PER_REQUEST: f64 = 50.0;
 
 fn engine(adapters: u32) -> Engine {
     let model = |name: &str, adapters| Model {
@@ -61,7 +61,7 @@
 fn rate(busy_ms_per_s: f64) -> WantedRate {
     WantedRate {
         busy_ms_per_s,
-        requests_per_s: busy_ms_per_s / MS_A_REQUEST,
+        requests_per_s: busy_ms_per_s / MS_PER_REQUEST,
         waiting: 0,
     }
 }
@@ -70,31 +70,31 @@
     engine: &Engine,
     runners: &[RunnerView],
     demand: &HashMap<Weights, WantedRate>,
-) -> HashMap<Name, Steps> {
-    let planning = Planning {
+) -> HashMap<Name, RunnerPlan> {
+    let planner = PlacementPlanner {
         engine,
         runners,
         demand,
-        asked: &HashSet::new(),
+        recently_requested: &HashSet::new(),
         cold_loads: 8,
     };
-    planning.plan()
+    planner.plan()
 }
 
 /// Carries out the steps as the leading VM does: all drops, then all loads.
-fn carry_out(engine: &Engine, runner: &RunnerView, steps: &Steps) {
+fn check_fits(engine: &Engine, runner: &RunnerView, runner_plan: &RunnerPlan) {
     let mut adapters = runner.adapters.clone();
     let mut models = runner.models.clone();
-    for dropped in &steps.drop {
-        if dropped.adapter.is_some() {
-            assert!(adapters.contains(dropped), "{dropped:?} is not held");
-            adapters.retain(|held| held != dropped);
+    for unloaded in &runner_plan.unload {
+        if unloaded.adapter.is_some() {
+            assert!(adapters.contains(unloaded), "{unloaded:?} is not held");
+            adapters.retain(|held| held != unloaded);
         } else {
-            assert!(models.contains(&dropped.model), "{dropped:?} is not held");
-            models.retain(|held| *held != dropped.model);
+            assert!(models.contains(&unloaded.model), "{unloaded:?} is not held");
+            models.retain(|held| *held != unloaded.model);
         }
     }
-    for loaded in &steps.load {
+    for loaded in &runner_plan.load {
         if loaded.adapter.is_some() {
             assert!(!adapters.contains(loaded), "{loaded:?} is held already");
             adapters.push(loaded.clone());
@@ -102,16 +102,19 @@
             models.push(loaded.model.clone());
         }
     }
-    assert!(adapters.len() <= engine.adapter_slots as usize, "{steps:?}");
+    assert!(
+        adapters.len() <= engine.adapter_slots as usize,
+        "{runner_plan:?}"
+    );
     let used_mb: f64 = models
         .iter()
         .map(|held| engine.model(held).map_or(0.0, |model| model.weights_mb))
         .sum();
-    assert!(used_mb <= engine.weights_mb, "{steps:?}");
+    assert!(used_mb <= engine.weights_mb, "{runner_plan:?}");
 }
 
 #[test]
-fn an_adapter_planned_for_a_runner_is_not_dropped_in_the_same_plan() {
+fn an_adapter_loaded_by_a_plan_is_not_unloaded_by_it() {
     let mut engine = engine(12);
     engine.models.truncate(1);
     let mut full = runner("r1", &["m0"]);
@@ -128,7 +131,7 @@
     demand.insert(adapter("m0", 7), rate(5_000.0));
     let runners = [full];
     let plan = plan(&engine, &runners, &demand);
-    carry_out(&engine, &runners[0], &plan["r1"]);
+    check_fits(&engine, &runners[0], &plan["r1"]);
 }
 
 #[test]
@@ -143,12 +146,12 @@
     let plan = plan(&engine, &runners, &demand);
     let loads = plan
         .values()
-        .filter(|steps| steps.load.contains(&model("m2")));
+        .filter(|runner_plan| runner_plan.load.contains(&model("m2")));
     assert_eq!(loads.count(), 1, "{plan:?}");
 }
 
 #[test]
-fn demand_that_moves_takes_copies_with_it() {
+fn copies_follow_demand_to_another_model() {
     let engine = engine(0);
     let runners = [
         runner("r1", &["m0", "m1"]),
@@ -159,14 +162,17 @@
     let plan = plan(&engine, &runners, &demand);
     let loads = plan
         .values()
-        .filter(|steps| steps.load.contains(&model("m1")));
+        .filter(|runner_plan| runner_plan.load.contains(&model("m1")));
     assert!(loads.count() > 0, "{plan:?}");
-    let drops: usize = plan.values().map(|steps| steps.drop.len()).sum();
+    let drops: usize = plan
+        .values()
+        .map(|runner_plan| runner_plan.unload.len())
+        .sum();
     assert!(drops < 3, "the last copy of m0 must stay: {plan:?}");
 }
 
 #[test]
-fn more_runners_take_more_swaps_at_a_time() {
+fn concurrent_swaps_scale_with_the_number_of_runners() {
     let engine = engine(0);
     let swaps_of = |count: usize| {
         let runners: Vec<RunnerView> = (0..count)
@@ -180,7 +186,7 @@
 }
 
 #[test]
-fn equal_demand_leaves_copies_where_they_are() {
+fn equal_demand_plans_no_swaps() {
     let engine = engine(0);
     let runners = [
         runner("r1", &["m0", "m1"]),
@@ -197,42 +203,42 @@
 
 proptest! {
     #[test]
-    fn plans_always_fit(
-        holds in prop::collection::vec((0_u32..4, 0_u32..4, prop::collection::vec(1_u32..9, 0..6)), 1..6),
+    fn plans_fit_the_memory_of_runners(
+        runner_contents in prop::collection::vec((0_u32..4, 0_u32..4, prop::collection::vec(1_u32..9, 0..6)), 1..6),
         rates in prop::collection::vec((0_u32..4, 0_u32..9, 0.0..90_000.0, 0_u32..3), 0..20),
     ) {
         let engine = engine(8);
         let name = |number: u32| format!("m{number}");
-        let runners: Vec<RunnerView> = holds
+        let runners: Vec<RunnerView> = runner_contents
             .iter()
             .enumerate()
-            .map(|(place, (first, second, adapters))| {
+            .map(|(index, (first, second, adapters))| {
                 let (first, second) = (name(*first), name(*second));
                 let models = if first == second { vec![first.as_str()] } else { vec![first.as_str(), second.as_str()] };
-                let mut view = runner(&format!("r{place}"), &models);
+                let mut runner_view = runner(&format!("r{index}"), &models);
                 for number in adapters {
                     let held = adapter(&first, *number);
-                    if !view.adapters.contains(&held) && view.adapters.len() < SLOTS as usize {
-                        view.adapters.push(held);
+                    if !runner_view.adapters.contains(&held) && runner_view.adapters.len() < SLOTS as usize {
+                        runner_view.adapters.push(held);
                     }
                 }
-                view
+                runner_view
             })
             .collect();
         let demand: HashMap<Weights, WantedRate> = rates
             .iter()
-            .map(|(of, number, busy_ms_per_s, waiting)| {
+            .map(|(model_number, number, busy_ms_per_s, waiting)| {
                 let weights = match number {
-                    0 => model(&name(*of)),
-                    number => adapter(&name(*of), *number),
+                    0 => model(&name(*model_number)),
+                    number => adapter(&name(*model_number), *number),
                 };
                 (weights, WantedRate { waiting: *waiting, ..rate(*busy_ms_per_s) })
             })
             .collect();
         let plan = plan(&engine, &runners, &demand);
-        for view in &runners {
-            if let Some(steps) = plan.get(&view.id) {
-                carry_out(&engine, view, steps);
+        for runner_view in &runners {
+            if let Some(runner_plan) = plan.get(&runner_view.id) {
+                check_fits(&engine, runner_view, runner_plan);
             }
         }
     }
