--- a/src/gateway/planning.rs
+++ b/src/gateway/planning.rs
@@ -1,4 +1,5 @@
-//! Which runner should hold which model and adapter: models by [`SwapPlanner`], then adapters.
+//! Plans which runner loads and unloads which models and adapters: models with [`SwapPlanner`],
+//! then adapters.
 
 use crate::gateway::peers::WantedRate;
 use crate::gateway::swaps::SwapPlanner;
@@ -6,78 +7,78 @@
 use crate::inventory::Name;
 use std::collections::{HashMap, HashSet};
 
-/// The demand for an adapter copy from which a second one is placed, in milliseconds of a
-/// runner's time a second.
+/// Demand per copy of an adapter above which another copy is placed, in milliseconds of runner
+/// time per second.
 const CROWDED_ADAPTER_MS_PER_S: f64 = 100.0;
-/// What a request that waits for an adapter counts beside the demand, in milliseconds of a
-/// runner's time a second.
+/// Demand that each request waiting for an adapter adds, in milliseconds of runner time per
+/// second.
 const WAITING_REQUEST_MS_PER_S: f64 = 30.0;
-/// Adapters that may be on their way to one runner.
+/// Maximum number of adapters that one runner loads at a time.
 const MAX_ADAPTER_LOADS: usize = 4;
 
-/// A model runner as the planner sees it.
+/// State of a model runner that a plan is based on.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunnerView {
-    /// The runner.
+    /// ID of the runner.
     pub(crate) id: Name,
-    /// The models that it holds and that are to stay.
+    /// Models that the runner holds, without one that is being unloaded.
     pub(crate) models: Vec<Name>,
-    /// The model that is being loaded there.
+    /// Model that is being loaded.
     pub(crate) loading: Option<Name>,
-    /// The adapters that it holds.
+    /// Adapters that the runner holds or is loading.
     pub(crate) adapters: Vec<Weights>,
-    /// Whether steps are being carried out there.
+    /// Whether the runner is executing orders.
     pub(crate) is_executing: bool,
-    /// Models whose weights it keeps in host memory.
+    /// Models whose weights the runner keeps in host memory.
     pub(crate) in_memory: Vec<Name>,
-    /// Models whose weights it keeps on disk.
+    /// Models whose weights the runner keeps on disk.
     pub(crate) on_disk: Vec<Name>,
-    /// Requests on it, by model.
+    /// Number of requests in flight on the runner, by model.
     pub(crate) in_flight: HashMap<Name, u32>,
-    /// Models that were loaded a moment ago and stay for now.
+    /// Models that were loaded too recently to be unloaded.
     pub(crate) recently_loaded: Vec<Name>,
 }
 
 impl RunnerView {
-    /// Whether an order can be given there.
+    /// Whether the runner can be sent an order.
     pub(super) fn is_free(&self) -> bool {
         !self.is_executing && self.loading.is_none()
     }
 
-    /// Whether a model can be loaded there without the weight store.
+    /// Whether the runner can load a model without the weight store.
     pub(super) fn has_cached(&self, model: &Name) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
     }
 }
 
-/// What one runner is to do, in this order.
+/// Unloads and loads for one runner, executed in this order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct RunnerPlan {
-    /// What is dropped.
+    /// Weights to unload.
     pub(crate) unload: Vec<Weights>,
-    /// What is loaded.
+    /// Weights to load.
     pub(crate) load: Vec<Weights>,
-    /// Whether a load comes from the weight store.
+    /// Whether a load fetches its weights from the weight store.
     pub(crate) is_cold: bool,
 }
 
-/// The state that a plan is made from.
+/// Plans the loads and unloads of all runners of a service from their state and the demand.
 #[derive(Debug)]
 pub(crate) struct PlacementPlanner<'a> {
-    /// The models and the room of a runner.
+    /// Models of the service and memory of a runner.
     pub(crate) engine: &'a Engine,
-    /// The runners.
+    /// Runners of the service.
     pub(crate) runners: &'a [RunnerView],
-    /// The demand at all VMs.
+    /// Demand summed over all VMs.
     pub(crate) demand: &'a HashMap<Weights, WantedRate>,
-    /// Models that were asked for lately.
+    /// Models that were requested recently.
     pub(crate) recently_requested: &'a HashSet<Name>,
-    /// Loads from the weight store that may begin now.
+    /// Number of loads from the weight store that may start now.
     pub(crate) cold_loads: usize,
 }
 
 impl PlacementPlanner<'_> {
-    /// What each runner is to do; runners without steps are left out.
+    /// Returns the plan of each runner that has something to load or unload.
     pub(crate) fn plan(&self) -> HashMap<Name, RunnerPlan> {
         let mut plans = HashMap::new();
         SwapPlanner::new(self).plan(&mut plans);
@@ -85,13 +86,13 @@
         plans
     }
 
-    /// The copies of a model that hold all its adapters.
+    /// Returns how many copies of a model are needed to hold all its adapters.
     pub(super) fn min_copies_for_adapters(&self, model: &Model) -> usize {
         let slots = self.engine.adapter_slots.max(1);
         model.adapters.div_ceil(slots) as usize
     }
 
-    /// Room for models on a runner.
+    /// Returns the memory that is free for models on a runner, in MB.
     pub(super) fn free_mb(&self, runner: &RunnerView) -> f64 {
         let held = runner.models.iter().map(|held| self.size_mb(held));
         self.engine.weights_mb - self.adapter_reserve_mb() - held.sum::<f64>()
@@ -99,11 +100,12 @@
 
     fn size_mb(&self, model: &str) -> f64 {
         let model = self.engine.model(model);
-        // A model that the configuration does not list fills the runner, to be safe.
+        // A model missing from the configuration has an unknown size, so it counts as filling the
+        // runner.
         model.map_or(self.engine.weights_mb, |model| model.weights_mb)
     }
 
-    /// Room that adapters may need beside the models.
+    /// Returns the memory reserved for adapters on a runner, in MB.
     fn adapter_reserve_mb(&self) -> f64 {
         let sizes = self.engine.models.iter().map(|model| model.adapter_mb);
         sizes.fold(0.0, f64::max) * f64::from(self.engine.adapter_slots)
@@ -134,7 +136,7 @@
         }
     }
 
-    /// All adapters of models that some runner holds, the most wanted first.
+    /// Returns all adapters, those that no runner holds first, then by waiting requests and demand.
     fn adapters_by_urgency(&self, copy_counts: &HashMap<Weights, usize>) -> Vec<Weights> {
         let models = self.engine.models.iter();
         let mut wanted: Vec<Weights> = models
@@ -180,7 +182,7 @@
         };
         let mut unload = Vec::new();
         if runner.adapters.len() >= slots {
-            // What this very plan loads is no victim: drops are carried out before loads.
+            // An adapter that this plan loads cannot be evicted: unloads are executed before loads.
             let planned = plans
                 .get(&runner.id)
                 .map_or(&[][..], |runner_plan| &runner_plan.load);
@@ -199,7 +201,7 @@
         runner_plan.load.push(wanted.clone());
     }
 
-    /// The adapter on a runner that is asked for least, if less than `wanted`.
+    /// Returns the adapter on a runner with the least demand, if that is less than for `wanted`.
     fn least_demanded_adapter(
         &self,
         runner: &RunnerView,
@@ -219,7 +221,7 @@
     }
 }
 
-/// The model itself, without an adapter.
+/// Returns the weights of the model itself, without an adapter.
 pub(super) fn model_weights(model: Name) -> Weights {
     Weights {
         model,
--- a/src/gateway/tests/planning.rs
+++ b/src/gateway/tests/planning.rs
@@ -1,4 +1,4 @@
-//! Placement: what a plan asks of a runner always fits it.
+//! Plans always fit the memory and adapter slots of a runner, and follow the demand.
 
 use crate::gateway::peers::WantedRate;
 use crate::gateway::planning::{PlacementPlanner, RunnerPlan, RunnerView};
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 
 const SLOTS: u32 = 5;
-/// How long a request keeps a runner busy.
+/// Runner time that a request takes, in milliseconds.
 const MS_PER_REQUEST: f64 = 50.0;
 
 fn engine(adapters: u32) -> Engine {
@@ -81,7 +81,8 @@
     planner.plan()
 }
 
-/// Carries out the steps as the leading VM does: all drops, then all loads.
+/// Applies a plan in the order that the leader uses, all unloads before all loads, and checks that
+/// each step is possible.
 fn check_fits(engine: &Engine, runner: &RunnerView, runner_plan: &RunnerPlan) {
     let mut adapters = runner.adapters.clone();
     let mut models = runner.models.clone();
@@ -119,7 +120,7 @@
     engine.models.truncate(1);
     let mut full = runner("r1", &["m0"]);
     full.adapters = (1..=5).map(|number| adapter("m0", number)).collect();
-    // One request waits for a rare adapter; a much busier one is missing as well.
+    // A request waits for an adapter with little demand; another with high demand is missing too.
     let mut demand: HashMap<Weights, WantedRate> = (2..=5)
         .map(|number| (adapter("m0", number), rate(3_000.0)))
         .collect();
@@ -164,11 +165,11 @@
         .values()
         .filter(|runner_plan| runner_plan.load.contains(&model("m1")));
     assert!(loads.count() > 0, "{plan:?}");
-    let drops: usize = plan
+    let unloads: usize = plan
         .values()
         .map(|runner_plan| runner_plan.unload.len())
         .sum();
-    assert!(drops < 3, "the last copy of m0 must stay: {plan:?}");
+    assert!(unloads < 3, "the last copy of m0 must stay: {plan:?}");
 }
 
 #[test]
@@ -204,25 +205,25 @@
 proptest! {
     #[test]
     fn plans_fit_the_memory_of_runners(
-        runner_contents in prop::collection::vec((0_u32..4, 0_u32..4, prop::collection::vec(1_u32..9, 0..6)), 1..6),
+        contents in prop::collection::vec((0_u32..4, 0_u32..4, prop::collection::vec(1_u32..9, 0..6)), 1..6),
         rates in prop::collection::vec((0_u32..4, 0_u32..9, 0.0..90_000.0, 0_u32..3), 0..20),
     ) {
         let engine = engine(8);
         let name = |number: u32| format!("m{number}");
-        let runners: Vec<RunnerView> = runner_contents
+        let runners: Vec<RunnerView> = contents
             .iter()
             .enumerate()
             .map(|(index, (first, second, adapters))| {
                 let (first, second) = (name(*first), name(*second));
                 let models = if first == second { vec![first.as_str()] } else { vec![first.as_str(), second.as_str()] };
-                let mut runner_view = runner(&format!("r{index}"), &models);
+                let mut view = runner(&format!("r{index}"), &models);
                 for number in adapters {
                     let held = adapter(&first, *number);
-                    if !runner_view.adapters.contains(&held) && runner_view.adapters.len() < SLOTS as usize {
-                        runner_view.adapters.push(held);
+                    if !view.adapters.contains(&held) && view.adapters.len() < SLOTS as usize {
+                        view.adapters.push(held);
                     }
                 }
-                runner_view
+                view
             })
             .collect();
         let demand: HashMap<Weights, WantedRate> = rates
@@ -236,9 +237,9 @@
             })
             .collect();
         let plan = plan(&engine, &runners, &demand);
-        for runner_view in &runners {
-            if let Some(runner_plan) = plan.get(&runner_view.id) {
-                check_fits(&engine, runner_view, runner_plan);
+        for view in &runners {
+            if let Some(runner_plan) = plan.get(&view.id) {
+                check_fits(&engine, view, runner_plan);
             }
         }
     }
