--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -1,48 +1,50 @@
-//! How demand spreads over the copies of models, and what a change of the copies is worth.
+//! Estimates how demand spreads over the copies of models, and the value of changing the copies.
 //!
-//! Requests go to the least loaded runner that holds their model, so each model's demand levels
-//! its copies' runners as far as it reaches. What all models on one runner ask of it together
-//! decides how many of its requests are answered late or not at all.
+//! Requests go to the least loaded runner that holds their model, so the demand for a model evens
+//! out the load of these runners as far as it suffices. The total load of a runner determines how
+//! many of its requests are answered late or not at all.
 
-/// The load of a runner, as a part of its time, up to which its streams are in time: beyond it
-/// prompts meet each other, and streams pause while they are read.
+/// Load of a runner, as a share of its time, up to which its streams are on time. Above it,
+/// prompts arrive while others are being processed, and streams pause during each prefill.
 const MAX_ON_TIME_LOAD: f64 = 0.45;
-/// The load from which hardly any of its streams is in time.
+/// Load of a runner from which on hardly any of its streams is on time.
 const ALL_LATE_LOAD: f64 = 1.0;
-/// What a late answer loses against none at all: a caller that gets it late is served, one that
-/// is refused twice is not. With 0.7 and the shorter holds and returns of then, callers of a
-/// deployment whose loads take 9 s got 0.35 of what full service is worth, with these 0.43 (ten
-/// plays each of days with trouble or high load).
+/// Cost of a late answer relative to no answer: a caller that is answered late is still served,
+/// one that is refused twice is not. Where loads take 9 s, callers got 0.43 of the value of full
+/// service with this cost, against 0.35 with 0.7 and shorter hold and return times.
 const LATE_ANSWER_COST: f64 = 0.4;
-/// What a load below the easy one costs: little, so that equal choices level the runners.
+/// Small cost of load that causes no late answers, so that otherwise equal choices even out the
+/// load of the runners.
 const IMBALANCE_COST: f64 = 0.05;
 
-/// What is asked of one model.
+/// Demand for one model.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ModelDemand {
-    /// What it takes of runners' time: 1 keeps one runner busy.
+    /// Runner time that the requests take: 1 keeps one runner busy.
     pub(crate) busy_runners: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub(crate) requests_per_s: f64,
-    /// Requests a second that are taken to be lost beside those while nobody holds it.
+    /// Additional requests per second that are assumed lost while no runner holds the model.
     pub(crate) missing_cost_per_s: f64,
 }
 
-/// Demand over the copies of models; models and runners are known by their places.
+/// Demand spread over the copies of models; models and runners are identified by their indices.
 #[derive(Clone, Debug)]
 pub(crate) struct DemandSpread {
     models: Vec<ModelCopies>,
     runners: Vec<RunnerLoad>,
 }
 
+/// Demand for a model and its copies.
 #[derive(Clone, Debug, Default)]
 struct ModelCopies {
     demand: ModelDemand,
-    /// The runners that hold it, with the part of its demand that goes there.
+    /// Runners that hold the model, each with the fraction of the demand that it serves.
     copies: Vec<(usize, f64)>,
 }
 
-/// What one runner is asked.
+/// Load of one runner: the share of its time that is used, above 1 if overloaded, and requests
+/// per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunnerLoad {
     utilisation: f64,
@@ -50,11 +52,11 @@
 }
 
 impl RunnerLoad {
-    /// Requests a second that are lost, late ones in part.
+    /// Returns the requests per second that are lost; late ones count in part.
     fn cost(self) -> f64 {
         let late = (self.utilisation - MAX_ON_TIME_LOAD) / (ALL_LATE_LOAD - MAX_ON_TIME_LOAD);
         let late = late.clamp(0.0, 1.0) * LATE_ANSWER_COST;
-        // What a runner has no time for is not answered.
+        // Requests beyond the capacity of a runner are not answered.
         let refused = (1.0 - 1.0 / self.utilisation.max(1.0)).max(0.0);
         let lost = late + (1.0 - late) * refused;
         let imbalance = IMBALANCE_COST * self.utilisation.min(1.0);
@@ -62,17 +64,18 @@
     }
 }
 
-/// What a change of one runner's models is worth, in requests a second.
+/// Value of a swap on one runner, in requests per second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SwapValue {
-    /// What the new copy gains once it is there.
+    /// Gain from the new copy once it is loaded.
     pub(crate) gain: f64,
-    /// What those that make room lose at once.
+    /// Immediate loss from the unloaded copies.
     pub(crate) loss: f64,
 }
 
 impl DemandSpread {
-    /// Spreads the demand for models over the runners that hold them.
+    /// Spreads the demand for models over the runners that hold them; `copy_runners` lists these
+    /// by model.
     pub(crate) fn new(
         demands: Vec<ModelDemand>,
         copy_runners: &[Vec<usize>],
@@ -91,8 +94,8 @@
         spread
     }
 
-    /// Places all demand anew, models with the fewest copies first, then once more over what
-    /// the others take.
+    /// Assigns all demand, models with the fewest copies first, then reassigns each model's demand
+    /// around the load of the others.
     fn balance(&mut self) {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by_key(|model| self.models[*model].copies.len());
@@ -105,22 +108,22 @@
         }
     }
 
-    /// How many runners hold a model.
+    /// Returns the number of runners that hold a model.
     pub(crate) fn copy_count(&self, model: usize) -> usize {
         self.models[model].copies.len()
     }
 
-    /// What a model takes of runners' time.
+    /// Returns the runner time that a model's demand takes, in runners.
     pub(crate) fn demand(&self, model: usize) -> f64 {
         self.models[model].demand.busy_runners
     }
 
-    /// The load of a runner, as a part of its time.
+    /// Returns the load of a runner as a share of its time.
     pub(crate) fn load(&self, runner: usize) -> f64 {
         self.runners[runner].utilisation
     }
 
-    /// Requests a second for a model that are lost now.
+    /// Returns the requests per second for a model that are currently lost.
     pub(crate) fn lost_per_s(&self, model: usize) -> f64 {
         let entry = &self.models[model];
         if entry.copies.is_empty() {
@@ -134,7 +137,7 @@
         lost.sum()
     }
 
-    /// What it is worth to drop models on a runner and to load one there.
+    /// Returns the value of unloading models from a runner and loading another there.
     pub(crate) fn swap_value(&mut self, runner: usize, load: usize, unload: &[usize]) -> SwapValue {
         let before = self.save_affected(load, unload);
         let affected = self.affected_runners(runner, load, unload);
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Carries out such a change.
+    /// Applies a swap to the spread.
     pub(crate) fn apply_swap(&mut self, runner: usize, load: usize, unload: &[usize]) {
         for model in unload {
             self.remove_copy(*model, runner);
@@ -174,7 +177,7 @@
         self.assign_demand(model);
     }
 
-    /// The cost of some runners, and of models that nobody holds.
+    /// Returns the cost of some runners, and of the models in a swap that no runner holds.
     fn cost(&self, runners: &[usize], load: usize, unload: &[usize]) -> f64 {
         let of_runners = runners.iter().map(|runner| self.runners[*runner].cost());
         let models = unload
@@ -187,7 +190,7 @@
         of_runners.sum::<f64>() + of_missing.sum::<f64>()
     }
 
-    /// The runners that a change bears on.
+    /// Returns the runners whose load a swap changes.
     fn affected_runners(&self, runner: usize, load: usize, unload: &[usize]) -> Vec<usize> {
         let models = unload.iter().chain([&load]);
         let copies = models.flat_map(|model| &self.models[*model].copies);
@@ -215,7 +218,7 @@
         self.runners = saved.runners;
     }
 
-    /// Takes a model's demand off its runners.
+    /// Removes a model's demand from its runners.
     fn remove_demand(&mut self, model: usize) {
         let ModelCopies { demand, copies } = &mut self.models[model];
         for (runner, fraction) in copies {
@@ -227,7 +230,8 @@
         }
     }
 
-    /// Puts a model's demand onto its runners so that it levels them as far as it reaches.
+    /// Assigns a model's demand to its runners, the least loaded first, so that their loads become
+    /// equal as far as it suffices.
     fn assign_demand(&mut self, model: usize) {
         let ModelCopies { demand, copies } = &mut self.models[model];
         if copies.is_empty() {
@@ -255,13 +259,14 @@
     }
 }
 
-/// What a change bears on, as it was.
+/// State before a swap, to restore after it has been evaluated.
 struct SavedState {
     models: Vec<(usize, Vec<(usize, f64)>)>,
     runners: Vec<RunnerLoad>,
 }
 
-/// The level that loads, lowest first, reach when `demand` is poured onto them.
+/// Returns the level to which `demand` raises the lowest loads (water filling). The loads must be
+/// in ascending order.
 fn water_fill_level(loads: impl Iterator<Item = f64>, demand: f64) -> f64 {
     let mut sum = demand;
     let mut level = 0.0;
--- a/src/gateway/swaps.rs
+++ b/src/gateway/swaps.rs
@@ -1,8 +1,8 @@
-//! Which models change places on the runners.
+//! Plans swaps: loading a model on a runner, in place of others where memory is short.
 //!
-//! Answers a load that keeps moving: a few models take most requests, others are asked for now
-//! and then, and which these are changes within seconds. A swap is made where the requests that
-//! the new copy answers in time, from when it is there, exceed what the dropped ones answered.
+//! The demand shifts quickly: a few models receive most requests, others are requested now and
+//! then, and which these are changes within seconds. A swap is made if the new copy, from when it
+//! is loaded, answers more requests in time than the unloaded copies did.
 
 use crate::gateway::planning::{PlacementPlanner, RunnerPlan, RunnerView, model_weights};
 use crate::gateway::spread::{DemandSpread, ModelDemand, SwapValue};
@@ -11,48 +11,54 @@
 use std::collections::HashMap;
 use tracing::info;
 
-/// The gain from which one more copy is loaded, in requests a second: above what chance lets the
-/// demand of equal models differ, so that they do not take turns.
+/// Minimum net gain for an additional copy, in requests per second. It is above the random
+/// difference in demand between equal models, which would otherwise keep replacing each other.
 const MIN_GAIN_PER_S: f64 = 0.3;
-/// The same for a model that no runner holds.
+/// Minimum gain for the first copy of a model, in requests per second.
 const MIN_FIRST_COPY_GAIN_PER_S: f64 = 0.02;
-/// What a load from the weight store costs, in requests a second: a third of a request's worth
-/// over the time for which demand stays.
+/// Cost of a load from the weight store, in requests per second: a third of the value of one
+/// request, spread over [`DEMAND_LIFETIME_MS`].
 const COLD_LOAD_COST_PER_S: f64 = 0.03;
-/// What the loss of a copy that adapters need costs, in requests a second.
+/// Cost of unloading a copy that is needed to hold all adapters, in requests per second.
 const ADAPTER_SHORTAGE_COST_PER_S: f64 = 0.1;
-/// What is taken to be lost, in requests a second, while nobody holds a model that was asked for
-/// lately, and one that was not: those that come for it are to be served as well.
+/// Assumed loss while no runner holds a recently requested model, in requests per second: new
+/// requests for it are to be served as well.
 const REQUESTED_MISSING_COST_PER_S: f64 = 0.3;
+/// Assumed loss while no runner holds a model without recent requests, in requests per second.
 const IDLE_MISSING_COST_PER_S: f64 = 0.05;
-/// The same for each request that waits for a model that nobody holds.
+/// Assumed loss for each request that waits for a model that no runner holds, in requests per
+/// second.
 const WAITING_MISSING_COST_PER_S: f64 = 0.5;
-/// How long demand stays with a model on average, in milliseconds: a copy that is there later
-/// meets less of it.
+/// Mean time for which the demand for a model lasts, in milliseconds: the later a copy is loaded,
+/// the less demand remains for it.
 const DEMAND_LIFETIME_MS: f64 = 12_000.0;
-/// What it costs, in requests a second, that a runner takes no other order for a second: what
-/// it has at hand may be wanted meanwhile, and a load from the weight store takes many seconds.
+/// Cost of each second in which a runner accepts no other order, in requests per second: models
+/// in its memory or on its disk may be requested meanwhile, and a load from the weight store takes
+/// many seconds.
 const BUSY_COST_PER_S: f64 = 0.1;
-/// How much later a copy is there if others make room for it that have requests under way, in
-/// milliseconds: half of a usual stream.
+/// Delay of a load if a model to unload first has requests in flight, in milliseconds: half the
+/// duration of a typical stream.
 const UNLOAD_WAIT_MS: f64 = 1_000.0;
-/// The part of the runners on which swaps may be under way: each takes a runner's copy away.
+/// Maximum share of runners on which swaps may be in progress at a time, since each swap takes a
+/// copy out of service.
 const MAX_SWAPPING_SHARE: f64 = 0.75;
-/// Loads from the weight store that filling a runner leaves to models that are missed.
+/// Loads from the weight store that filling free memory leaves to models that no runner holds.
 const RESERVED_COLD_LOADS: usize = 4;
-/// Models and runners that are looked at for one swap: those that lose most, and those with the
-/// least to do; bounds the work of a plan in a large fleet.
+/// Maximum number of models considered for one swap, those with the highest losses first; bounds
+/// the work of a plan in a large fleet.
 const MAX_CANDIDATE_MODELS: usize = 6;
+/// Maximum number of runners considered per model, the least loaded first: as many that have its
+/// weights cached, and as many that have not.
 const MAX_CANDIDATE_RUNNERS: usize = 8;
 
-/// Plans swaps over the demand as it spreads now.
+/// Plans swaps from the current spread of the demand; models and runners go by their indices.
 pub(super) struct SwapPlanner<'a> {
     planner: &'a PlacementPlanner<'a>,
     spread: DemandSpread,
     model_indices: HashMap<&'a Name, usize>,
 }
 
-/// A swap on one runner with what it gains, in requests a second.
+/// A swap on one runner with its value and its net gain in requests per second.
 struct Swap {
     net_per_s: f64,
     value: SwapValue,
@@ -63,7 +69,7 @@
 }
 
 impl<'a> SwapPlanner<'a> {
-    /// Spreads the demand over the copies that there are or will be.
+    /// Spreads the demand over the copies that are loaded or being loaded.
     pub(super) fn new(planner: &'a PlacementPlanner<'a>) -> Self {
         let models = &planner.engine.models;
         let model_indices: HashMap<&Name, usize> = models
@@ -103,7 +109,7 @@
         }
     }
 
-    /// Makes the swaps that gain most, one after the other, then fills runners with room left.
+    /// Plans the swaps that gain most, one after the other, then fills runners with free memory.
     pub(super) fn plan(mut self, plans: &mut HashMap<Name, RunnerPlan>) {
         let runners = self.planner.runners;
         let in_progress = runners.iter().filter(|it| it.loading.is_some()).count();
@@ -120,7 +126,7 @@
         self.fill_free_memory(plans, cold_loads);
     }
 
-    /// The swap that gains most, if it gains enough.
+    /// Returns the swap with the highest net gain among those that gain enough.
     fn best_swap(&mut self, plans: &HashMap<Name, RunnerPlan>, cold_loads: usize) -> Option<Swap> {
         let mut candidates: Vec<(f64, usize)> = (0..self.planner.engine.models.len())
             .map(|model| (self.spread.lost_per_s(model), model))
@@ -147,8 +153,8 @@
         best
     }
 
-    /// Whether a swap gains enough; a model that nobody holds is loaded where that costs
-    /// others less than it gains, however long it takes.
+    /// Whether a swap gains enough. A model that no runner holds is loaded where it gains more than
+    /// the other models lose, however long the load takes.
     fn gains_enough(&self, swap: &Swap) -> bool {
         match self.spread.copy_count(swap.load) {
             0 => swap.value.gain - swap.value.loss >= MIN_FIRST_COPY_GAIN_PER_S,
@@ -181,7 +187,7 @@
         }
     }
 
-    /// When a copy can be there, in milliseconds from now.
+    /// Returns the time until a copy would be loaded, in milliseconds.
     fn ready_in_ms(&self, load: usize, runner: usize, unload: &[usize]) -> f64 {
         let model = self.model(load);
         let view = &self.planner.runners[runner];
@@ -200,13 +206,13 @@
         load_ms as f64 + if must_wait { UNLOAD_WAIT_MS } else { 0.0 }
     }
 
-    /// Whether copies beyond these are needed for all adapters to have a place.
+    /// Whether all present copies of a model are needed to hold its adapters.
     fn is_needed_for_adapters(&self, model: usize) -> bool {
         self.spread.copy_count(model) <= self.planner.min_copies_for_adapters(self.model(model))
     }
 
-    /// Runners that can load a model, those first that have the least to do: some that have it
-    /// at hand and some that have not.
+    /// Returns runners that can load a model: the least loaded ones that have its weights cached,
+    /// then the least loaded ones that have not.
     fn free_runners(&self, model: usize, plans: &HashMap<Name, RunnerPlan>) -> Vec<usize> {
         let name = &self.model(model).name;
         let runners = self.planner.runners.iter().enumerate();
@@ -225,7 +231,7 @@
         cached
     }
 
-    /// The sets of models that could make room for one on a runner.
+    /// Returns the sets of models that could be unloaded from a runner to make room for another.
     fn unload_candidates(&self, load: usize, runner: usize) -> Vec<Vec<usize>> {
         let view = &self.planner.runners[runner];
         let needed_mb = self.model(load).weights_mb - self.planner.free_mb(view);
@@ -264,7 +270,7 @@
         Vec::new()
     }
 
-    /// Fills runners that have room left with the model that gains most there.
+    /// Fills each runner that has free memory with the model that gains most there.
     fn fill_free_memory(&mut self, plans: &mut HashMap<Name, RunnerPlan>, mut cold_loads: usize) {
         for runner in 0..self.planner.runners.len() {
             let view = &self.planner.runners[runner];
@@ -310,7 +316,7 @@
         plans.insert(id, of_runner);
     }
 
-    /// Tells what decided.
+    /// Logs a swap with the figures that decided it.
     fn log_swap(&self, swap: &Swap) {
         let unloaded = swap.unload.iter().map(|model| &*self.model(*model).name);
         info!(
--- a/src/gateway/tests/swaps.rs
+++ b/src/gateway/tests/swaps.rs
@@ -1,4 +1,4 @@
-//! What a swap of models is worth, by the load that all models of a runner make.
+//! The value of swaps, given the total load of all models on each runner.
 
 use crate::gateway::spread::{DemandSpread, ModelDemand};
 
@@ -54,8 +54,8 @@
 
 #[test]
 fn swap_value_counts_requests_rather_than_runner_time() {
-    // Two runners each hold a copy of a busy large model; a small one with as many requests,
-    // which takes an eighth of the time each, gains more by a place of its own.
+    // A large model and a small one with as many requests, each of which takes an eighth of the
+    // time, share runner 0; a copy of the small model on the idle runner 1 gains much.
     let large = ModelDemand {
         busy_runners: 0.8,
         requests_per_s: 8.0,
