--- a/src/gateway/runner_state.rs
+++ b/src/gateway/runner_state.rs
@@ -1,4 +1,4 @@
-//! What the leading VM knows of one runner.
+//! State that the leader keeps for each runner.
 
 use crate::gateway::fleet::{Holding, Server, holds};
 use crate::gateway::planning::RunnerView;
@@ -7,30 +7,30 @@
 use crate::inventory::Name;
 use std::time::{Duration, Instant};
 
-/// How long a model stays once it was loaded: the demand that it was loaded for is counted
-/// over a second and a half and needs some time to show at the new copy.
+/// Minimum time for which a loaded model stays: demand is counted over 1.5 s, and the demand that
+/// a model was loaded for takes some time to show at the new copy.
 pub(super) const MIN_RESIDENCE: Duration = Duration::from_secs(2);
 
-/// What is known of one runner.
+/// Last report of a runner and the orders in progress there.
 #[derive(Debug, Default)]
 pub(super) struct RunnerState {
-    /// Its account; `None` until it was asked.
+    /// Last report of the runner; `None` until there is a valid one.
     pub(super) report: Option<RunnerReport>,
     pub(super) report_requested_at: Option<Instant>,
-    /// Whether the last account that was asked for did not come.
+    /// Whether the last report that was requested did not arrive.
     pub(super) last_report_missed: bool,
     pub(super) is_executing: bool,
-    /// A model that is being dropped: no request is to be sent for it.
+    /// Model that is being unloaded: no requests for it may be sent to the runner.
     pub(super) unloading: Option<Name>,
-    /// A model that is being loaded.
+    /// Model that is being loaded.
     pub(super) loading: Option<Name>,
-    /// When models were loaded of late.
+    /// Models that were loaded recently, with the time of each load.
     pub(super) recent_loads: Vec<(Name, Instant)>,
 }
 
 impl RunnerState {
-    /// Notes an account that did not come. What is known stays for one of them: without it the plan
-    /// would take the runner's copies, and what it loads, for gone and load them elsewhere.
+    /// Records that a report did not arrive. The last report is kept for the first miss: without
+    /// it, the planner would treat the runner's copies and loads as gone and load them elsewhere.
     pub(super) fn note_missed_report(&mut self) {
         if self.last_report_missed {
             self.report = None;
@@ -38,7 +38,8 @@
         self.last_report_missed = true;
     }
 
-    /// The models that requests may be sent for.
+    /// Returns the models that requests may be sent for, with their adapters; `None` without a
+    /// report.
     pub(super) fn usable(&self) -> Option<Vec<Holding>> {
         let report = self.report.as_ref()?;
         let holdings = report.holdings.iter();
@@ -46,7 +47,7 @@
         Some(usable.cloned().collect())
     }
 
-    /// The runner as the planner sees it; `None` until it gave an account.
+    /// Returns the state that the planner needs; `None` without a report.
     pub(super) fn view(&self, server: &Server, state: &State) -> Option<RunnerView> {
         let report = self.report.as_ref()?;
         let usable = self.usable()?;
@@ -90,7 +91,7 @@
     }
 }
 
-/// Enters a change into what a runner holds.
+/// Applies an order to what a runner holds; the load of a model is left to the next report.
 pub(super) fn apply_order(holdings: &mut Vec<Holding>, weights: &Weights, is_load: bool) {
     let Some(adapter) = &weights.adapter else {
         if !is_load {
