--- a/src/gateway/election.rs
+++ b/src/gateway/election.rs
@@ -1,14 +1,15 @@
-//! Which VM gives orders to model runners.
+//! Elects the leader, the VM that sends orders to model runners.
 //!
-//! The log deals out the partitions of a topic among the group of VMs; whoever has the
-//! first one claims a place in the log if it hears nobody give orders. The place is its
-//! fence, so that a runner refuses what an earlier holder still sends. A holder goes on
-//! when the partitions are dealt anew, which every VM that comes or goes brings about.
+//! The log assigns the partitions of a topic to the group of VMs. The VM with the first partition
+//! appends a leadership claim to the log if it receives no gossip from a leader. The offset of the
+//! claim is its fencing token (fence), by which runners refuse orders of an earlier leader. A
+//! leader continues when the partitions are reassigned, as happens whenever a VM joins or leaves.
 //!
-//! Where runners check fences, a holder also goes on while it cannot reach the log: nobody can
-//! claim there if the log is away for all, and if it is away for this VM only, the others hear
-//! its fence, or a runner refuses its orders once one of them has claimed. Models go on moving
-//! through an outage; without it none moved for its length and the lease.
+//! Where runners check fences, a leader also continues while it cannot reach the log. If the log
+//! is unreachable for all VMs, no other VM can claim; if only for the leader, the other VMs receive
+//! its fence, or a runner refuses its orders once one of them has claimed. Models can thus be
+//! swapped during an outage of the log; otherwise none would be until the outage and the lease
+//! are over.
 
 use crate::gateway::order_dispatch::OrderDispatcher;
 use crate::gateway::state::State;
@@ -19,27 +20,29 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// The time between two renewals of the membership; each costs a tenth of a call.
+/// Interval between renewals of the membership; each costs a tenth of a call to the log.
 const JOIN_INTERVAL: Duration = Duration::from_millis(800);
-/// The time between two readings of the group's members: VMs tell each other which there are, and
-/// the list is only where one begins and where the halves of a fleet meet after a partition. While
-/// large fleets are restarted in turn, a reading at each change by each VM was half of all calls.
+/// Minimum interval between reads of the member list. VMs learn of each other by gossip; the list
+/// serves only to start, and to reunite the halves of a fleet after a network partition. When
+/// every VM read it at each change, the reads made up half of all calls to the log during rolling
+/// restarts of large fleets.
 const MEMBERS_INTERVAL: Duration = Duration::from_secs(10);
-/// How long a silent member is kept: three renewals.
+/// Time after which a silent member is removed: three renewals.
 const MEMBER_TTL: Duration = Duration::from_millis(2_400);
-/// The time between two looks at what is to be ordered.
+/// Interval at which leadership is checked and orders are planned.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a new member listens for a VM that gives orders, in three messages' time.
+/// Time for which a new member waits for gossip from a leader before it claims: three gossip
+/// messages.
 const DISCOVERY_TIME: Duration = Duration::from_millis(600);
-/// The time between two looks for later claims.
+/// Minimum interval between checks of the log for later claims.
 const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(700);
-/// How long a new holder waits with its first order after one that fell silent: longer than
-/// between two of that one's looks; with the silence, longer than a membership.
+/// Delay before the first order of a leader whose predecessor fell silent. It is longer than the
+/// predecessor's [`CLAIM_CHECK_INTERVAL`] and, together with the silence, than its membership.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(1_000);
-/// The pause after a claim that the log did not take.
+/// Delay after a claim that failed for another reason than a conflict.
 const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// This VM's part in leading.
+/// Keeps this VM a member of the group and lets it claim, exercise and give up leadership.
 pub(crate) struct LeaderElection<S, R> {
     state: Rc<State>,
     store: Rc<S>,
@@ -47,27 +50,27 @@
     member: String,
     membership: Cell<Membership>,
     renewed_at: Cell<Option<Instant>>,
-    /// The place that the next claim will have, as far as is known.
+    /// Offset of the next claim in the log, as far as known.
     next_claim_offset: Cell<u64>,
     leadership_lost_at: Cell<Option<Instant>>,
     /// When this process first became a member.
     joined_at: Cell<Option<Instant>>,
-    /// When another VM was last heard to give orders.
+    /// When gossip from another leader was last received.
     leader_last_heard_at: Cell<Option<Instant>>,
-    /// When this VM claimed after a holder that was not heard to give up.
+    /// When this VM claimed leadership after a leader that had not advertised that it stepped down.
     takeover_started_at: Cell<Option<Instant>>,
-    /// When the log was last looked at for later claims.
+    /// When the log was last checked for later claims.
     claim_checked_at: Cell<Option<Instant>>,
-    /// Whether the group has changed since its members were read.
+    /// Whether the group has changed since the member list was read.
     has_group_changed: Cell<bool>,
-    /// When they were read.
+    /// When the member list was last read.
     members_read_at: Cell<Option<Instant>>,
-    /// Whether the membership lapsed since the log was last looked at for later claims.
+    /// Whether the membership has lapsed since the log was last checked for later claims.
     has_lapsed_unchecked: Cell<bool>,
 }
 
 impl<S: Group + Claims, R: RunnerControl> LeaderElection<S, R> {
-    /// A VM that is no member yet.
+    /// Creates the state of a VM that is not a member yet.
     pub(crate) fn new(state: Rc<State>, store: Rc<S>, runner_control: R) -> Rc<Self> {
         let member = state.settings.peer_address.to_string();
         Rc::new(Self {
@@ -93,7 +96,7 @@
         MEMBER_TTL.max(self.state.settings.bounds.min_member_ttl)
     }
 
-    /// Stays a member of the group while one is wanted, until the process ends.
+    /// Renews the membership while it is needed, until the process shuts down.
     pub(crate) async fn keep_membership(self: Rc<Self>) {
         while !self.state.shutdown.is_leaving() {
             let requested_at = Instant::now();
@@ -110,9 +113,9 @@
         }
     }
 
-    /// Whether this VM has to be a member: some VMs are enough to lead and to be found by those that
-    /// start, and each renewal costs. While nobody gives orders all are members, so that one of them
-    /// claims whichever are cut off from the log.
+    /// Whether this VM has to be a member. A few members are enough to lead and to be found by VMs
+    /// that start, and each renewal has a cost. While there is no leader, all VMs are members, so
+    /// that one of them claims no matter which are cut off from the log.
     fn is_membership_needed(&self, now: Instant) -> bool {
         let peers = &self.state.peers;
         let has_other_leader = peers.highest_fence().is_some();
@@ -149,15 +152,15 @@
             }
             Err(error) => {
                 warn!(?error, "members not read");
-                // Without them a VM that has just started finds nobody: asked for again with the
-                // next renewal.
+                // Without the list, a VM that has just started finds no others, so it is read again
+                // with the next renewal.
                 self.has_group_changed.set(true);
                 self.members_read_at.set(None);
             }
         }
     }
 
-    /// Leaves the group, so that another VM leads at once.
+    /// Gives up leadership and leaves the group, so that another VM can lead at once.
     pub(crate) async fn leave(&self) {
         self.dispatcher.stop();
         if let Err(error) = self.store.leave(&self.member).await {
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Gives orders while this VM holds the claim.
+    /// Claims leadership where there is no leader, and sends orders while this VM leads.
     pub(crate) async fn lead(self: Rc<Self>) {
         loop {
             compio::time::sleep(TICK_INTERVAL).await;
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Whether a holder may go on: as a member, or by its fence where runners check it.
+    /// Whether a leader may continue: as a member, or by its fence where runners check fences.
     fn may_continue(&self) -> bool {
         if self.is_member() {
             return true;
@@ -197,13 +200,13 @@
         self.state.settings.bounds.is_fenced && !self.state.shutdown.is_leaving()
     }
 
-    /// Whether the group has this VM as a member, as of less than a membership's time ago.
+    /// Whether the last renewal of the membership is still valid.
     fn is_member(&self) -> bool {
         let renewed_at = self.renewed_at.get();
         !self.state.shutdown.is_leaving() && renewed_at.is_some_and(|at| at.elapsed() < self.ttl())
     }
 
-    /// Whether this VM is to claim where nobody is heard to give orders.
+    /// Whether this VM should claim if it receives no gossip from a leader.
     fn may_claim(&self) -> bool {
         let joined_at = self.joined_at.get();
         self.membership.get().is_first
@@ -211,8 +214,8 @@
             && joined_at.is_some_and(|at| at.elapsed() >= DISCOVERY_TIME)
     }
 
-    /// Whether orders may be given by now: an earlier holder that was not heard to give up
-    /// has seen this VM's claim in the log, or has lost its membership.
+    /// Whether orders may be sent by now: an earlier leader that did not advertise that it stepped
+    /// down has seen this VM's claim in the log, or has lost its membership.
     fn may_send_orders(&self) -> bool {
         let takeover_started_at = self.takeover_started_at.get();
         takeover_started_at.is_none_or(|at| at.elapsed() >= TAKEOVER_DELAY)
@@ -222,20 +225,20 @@
         let Some(fence) = self.claim().await else {
             return;
         };
-        // Whoever gave orders until now was last heard with its fence and then fell silent,
-        // or told that it gives up, or there was nobody.
+        // The previous leader either fell silent after its last gossip with a fence, or advertised
+        // that it stepped down, or there was none.
         let last_heard_at = self.leader_last_heard_at.get();
-        let has_failed = last_heard_at.is_some_and(|at| at.elapsed() < self.ttl());
+        let was_led_recently = last_heard_at.is_some_and(|at| at.elapsed() < self.ttl());
         let has_released = self.state.peers.has_released();
-        let waits = has_failed && !has_released;
+        let waits = was_led_recently && !has_released;
         info!(fence, waits, "orders claimed");
         self.takeover_started_at.set(waits.then(Instant::now));
         self.claim_checked_at.set(Some(Instant::now()));
         self.dispatcher.start(fence);
     }
 
-    /// Gives up once the log shows a later claim; looked up while the group would have another
-    /// VM claim, and after the membership has lapsed.
+    /// Steps down if the log shows a later claim. The log is checked while the first partition
+    /// belongs to another VM, and after the membership has lapsed.
     async fn check_claim(&self, fence: u64) {
         let claim_checked_at = self.claim_checked_at.get();
         let is_due = claim_checked_at.is_none_or(|at| at.elapsed() >= CLAIM_CHECK_INTERVAL);
@@ -247,7 +250,7 @@
         match self.store.has_successor(fence).await {
             Ok(true) => self.step_down(),
             Ok(false) => self.has_lapsed_unchecked.set(false),
-            // Asked again at the next turn, unless the log is away.
+            // Retried at the next check, unless the log stays unreachable.
             Err(error) => tracing::debug!(?error, "claim not checked"),
         }
     }
@@ -260,9 +263,9 @@
         }
     }
 
-    /// Claims the next place in the log.
+    /// Appends a leadership claim to the log and returns its offset, the fence.
     ///
-    /// A VM that gave up its claim waits first: holders must not take turns.
+    /// A VM that has lost leadership first waits for a lease, so that leaders do not alternate.
     async fn claim(&self) -> Option<u64> {
         if self.dispatcher.take_fenced() {
             self.leadership_lost_at.set(Some(Instant::now()));
