--- a/src/gateway/tests/planning.rs
+++ b/src/gateway/tests/planning.rs
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn concurrent_swaps_scale_with_the_number_of_runners() {
+fn more_runners_take_more_swaps_at_a_time() {
     let engine = engine(0);
     let swaps_of = |count: usize| {
         let runners: Vec<RunnerView> = (0..count)
@@ -204,7 +204,7 @@
 
 proptest! {
     #[test]
-    fn plans_fit_the_memory_of_runners(
+    fn plans_always_fit(
         contents in prop::collection::vec((0_u32..4, 0_u32..4, prop::collection::vec(1_u32..9, 0..6)), 1..6),
         rates in prop::collection::vec((0_u32..4, 0_u32..9, 0.0..90_000.0, 0_u32..3), 0..20),
     ) {
