--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -3,8 +3,8 @@
 use crate::callers::Organisation;
 use crate::gateway::failure::Failure;
 use crate::gateway::grant::Grant;
-use crate::gateway::hold_time::Patience;
-use crate::gateway::{Ask, Route, Weights};
+use crate::gateway::hold_time::RequestTiming;
+use crate::gateway::{CallerRequest, Route, Weights};
 use crate::inventory::Name;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
 /// One request under way.
 #[derive(Debug)]
 pub(crate) struct Call {
-    pub(crate) ask: Ask,
+    pub(crate) ask: CallerRequest,
     pub(crate) cost: Cost,
     /// The last sending.
     pub(crate) sending: Option<Sending>,
@@ -104,8 +104,8 @@
     }
 
     /// The times that bear on its beginning.
-    pub(crate) fn patience(&self) -> Patience {
-        Patience {
+    pub(crate) fn patience(&self) -> RequestTiming {
+        RequestTiming {
             arrived: self.arrived,
             target: Duration::from_millis(self.route.target_latency_ms),
             max_pause: Duration::from_millis(self.route.max_pause_ms),
@@ -122,7 +122,7 @@
     pub(crate) fn hold_until(&self) -> Instant {
         let answer = Duration::from_secs_f64(self.cost.stream_ms / 1_000.0) + self.read_time();
         let latest = self.deadline.checked_sub(answer).unwrap_or(self.arrived);
-        self.patience().limit().min(latest).max(self.arrived)
+        self.patience().hold_limit().min(latest).max(self.arrived)
     }
 
     /// How long it may be held in all.
--- a/src/gateway/caller_request.rs
+++ b/src/gateway/caller_request.rs
@@ -11,7 +11,7 @@
 
 /// One request of a caller, read whole.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct CallerRequest {
     /// The caller's name for this request.
     pub(crate) id: Name,
     /// The method, passed on unchanged.
@@ -49,7 +49,7 @@
     pub(crate) max_tokens: u32,
 }
 
-impl Ask {
+impl CallerRequest {
     /// What it counts as where tokens are counted, if the caller tells.
     pub(crate) fn token_count(&self) -> Option<f64> {
         let (prompt, most) = self.tokens?;
--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -65,7 +65,7 @@
     /// Whether a connection to it is open and idle.
     pub(crate) is_connected: bool,
     /// Whether the request ends before other VMs hear of it, as plain calls do.
-    pub(crate) is_brief: bool,
+    pub(crate) is_short_call: bool,
     /// Whether it failed a moment ago, or failed this very request.
     pub(crate) has_failed: bool,
 }
@@ -83,14 +83,14 @@
 
     /// Whether a prompt that takes `read_ms` had better wait until others are read there: with
     /// it, streams there would pause for longer than an answer in time may.
-    pub(crate) fn is_reading(&self, read_ms: f64, max_pause_ms: f64) -> bool {
+    pub(crate) fn defers_prompt(&self, read_ms: f64, max_pause_ms: f64) -> bool {
         let wait_ms = self.prompts_wait_ms;
         wait_ms > READING_MS && wait_ms + read_ms > max_pause_ms * PAUSE_SHARE
     }
 
     /// The load with what else speaks against the server.
     fn score(&self) -> f64 {
-        let zone = match (self.is_near, self.is_far_late && !self.is_brief) {
+        let zone = match (self.is_near, self.is_far_late && !self.is_short_call) {
             (true, _) => 0.0,
             (false, true) => LATE_ZONE_PENALTY,
             (false, false) => ZONE_PENALTY,
@@ -99,7 +99,7 @@
             true => 0.0,
             false => CONNECT_PENALTY,
         };
-        let load = match self.is_brief {
+        let load = match self.is_short_call {
             true => self.load() * BRIEF_LOAD_WEIGHT,
             false => self.load(),
         };
@@ -116,7 +116,7 @@
     /// without delay: a byte from another zone costs, and comes later. Of a server for brief calls
     /// only the failures are known in time.
     fn class(&self) -> (bool, bool, bool) {
-        match self.is_brief {
+        match self.is_short_call {
             true => (self.has_failed, false, false),
             false => (self.has_failed, self.is_full(), !self.is_near_and_easy()),
         }
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -19,20 +19,20 @@
 
 /// Crashes by request, as this VM and its peers saw them.
 #[derive(Debug, Default)]
-pub(crate) struct Suspects {
+pub(crate) struct CrashSuspects {
     records: RefCell<HashMap<u64, Record>>,
 }
 
-impl Suspects {
+impl CrashSuspects {
     /// Notes a crash with the request aboard; returns how many are known by now.
-    pub(crate) fn note_crash(&self, fingerprint: u64, now: Instant) -> u32 {
+    pub(crate) fn record_crash(&self, fingerprint: u64, now: Instant) -> u32 {
         let crashes = self.crashes(fingerprint, now) + 1;
-        self.note_crashes(fingerprint, crashes, now);
+        self.merge_crashes(fingerprint, crashes, now);
         crashes
     }
 
     /// Takes over a peer's count; tells whether more is known now.
-    pub(crate) fn note_crashes(&self, fingerprint: u64, crashes: u32, now: Instant) -> bool {
+    pub(crate) fn merge_crashes(&self, fingerprint: u64, crashes: u32, now: Instant) -> bool {
         let known = self.crashes(fingerprint, now);
         let mut records = self.records.borrow_mut();
         if records.len() >= MAX_KEPT {
--- a/src/gateway/demand.rs
+++ b/src/gateway/demand.rs
@@ -1,7 +1,7 @@
 //! What requests ask of each model, as rates that fade.
 
 use crate::gateway::Weights;
-use crate::gateway::peers::WantedRate;
+use crate::gateway::peers::DemandRate;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -13,15 +13,15 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Rate {
-    wanted: WantedRate,
+    wanted: DemandRate,
     at: Instant,
 }
 
 impl Rate {
-    fn now(self, now: Instant) -> WantedRate {
+    fn now(self, now: Instant) -> DemandRate {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
         let left = (-age / FADE.as_secs_f64()).exp();
-        WantedRate {
+        DemandRate {
             busy_ms_per_s: self.wanted.busy_ms_per_s * left,
             requests_per_s: self.wanted.requests_per_s * left,
             waiting: 0,
@@ -47,7 +47,7 @@
     }
 
     /// The rates now.
-    pub(crate) fn rates(&self, now: Instant) -> Vec<(Weights, WantedRate)> {
+    pub(crate) fn rates(&self, now: Instant) -> Vec<(Weights, DemandRate)> {
         let mut rates = self.rates.borrow_mut();
         rates.retain(|_, rate| rate.now(now).requests_per_s >= MIN_REQUESTS_PER_S);
         let rates = rates.iter();
--- a/src/gateway/election.rs
+++ b/src/gateway/election.rs
@@ -119,7 +119,7 @@
     fn is_membership_needed(&self, now: Instant) -> bool {
         let peers = &self.state.peers;
         let has_other_leader = peers.highest_fence().is_some();
-        self.dispatcher.is_leader() || !has_other_leader || peers.is_member_wanted(now)
+        self.dispatcher.is_leader() || !has_other_leader || peers.should_join_group(now)
     }
 
     async fn apply_membership(&self, membership: Membership, requested_at: Instant) {
@@ -148,7 +148,7 @@
                 let others = members.names.iter().filter(|name| **name != self.member);
                 let others = others.filter_map(|name| name.parse::<SocketAddr>().ok());
                 let peers = &self.state.peers;
-                peers.set_members(others.collect(), members.is_all);
+                peers.set_members(others.collect(), members.is_complete);
             }
             Err(error) => {
                 warn!(?error, "members not read");
@@ -229,8 +229,8 @@
         // that it stepped down, or there was none.
         let last_heard_at = self.leader_last_heard_at.get();
         let was_led_recently = last_heard_at.is_some_and(|at| at.elapsed() < self.ttl());
-        let has_released = self.state.peers.has_released();
-        let waits = was_led_recently && !has_released;
+        let leadership_released = self.state.peers.leadership_released();
+        let waits = was_led_recently && !leadership_released;
         info!(fence, waits, "orders claimed");
         self.takeover_started_at.set(waits.then(Instant::now));
         self.claim_checked_at.set(Some(Instant::now()));
@@ -247,7 +247,7 @@
             return;
         }
         self.claim_checked_at.set(Some(Instant::now()));
-        match self.store.has_successor(fence).await {
+        match self.store.has_later_claim(fence).await {
             Ok(true) => self.step_down(),
             Ok(false) => self.has_lapsed_unchecked.set(false),
             // Retried at the next check, unless the log stays unreachable.
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -123,7 +123,7 @@
     }
 
     /// Drops the connections to servers that are gone, and those idle for too long.
-    pub(crate) fn clean(&self, is_listed: impl Fn(&Incarnation) -> bool, now: Instant) {
+    pub(crate) fn remove_stale(&self, is_listed: impl Fn(&Incarnation) -> bool, now: Instant) {
         self.idle.borrow_mut().retain(|run, idle| {
             idle.retain(|idle| now < idle.until && !idle.connection.is_closed());
             is_listed(run) && !idle.is_empty()
--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -1,7 +1,7 @@
 //! What this role asks of the outside: callers, backend servers and the log, a small
 //! trait for each side.
 
-use crate::gateway::{Ask, Configuration, Entry};
+use crate::gateway::{CallerRequest, Configuration, Entry};
 use crate::http::Body;
 use crate::inventory::Name;
 use hyper::http::{request, response};
@@ -36,7 +36,7 @@
     /// The request that it answers.
     pub(crate) request_id: Option<Name>,
     /// Whether it states that the request did not run.
-    pub(crate) is_not_run: bool,
+    pub(crate) is_not_executed: bool,
     /// The backend server that answered, where it tells.
     pub(crate) server: Option<Name>,
     /// Whether the backend server signed it.
@@ -59,10 +59,10 @@
 /// The protocol of requests, on the callers' side and on the backend servers'.
 pub(crate) trait Protocol: 'static {
     /// Reads what a caller asks for; the body comes later.
-    fn read_ask(head: &request::Parts) -> Result<Ask, Malformed>;
+    fn read_caller_request(head: &request::Parts) -> Result<CallerRequest, Malformed>;
 
     /// The request as a backend server gets it.
-    fn to_server(ask: &Ask, options: &SendOptions<'_>) -> Request<Body>;
+    fn to_server(ask: &CallerRequest, options: &SendOptions<'_>) -> Request<Body>;
 
     /// Reads the head of a backend server's answer.
     fn read_reply(head: &response::Parts) -> Reply;
@@ -102,9 +102,9 @@
 #[derive(Clone, Debug)]
 pub(crate) enum ServerChange {
     /// An entry is new or renewed.
-    Here(Entry),
+    Upserted(Entry),
     /// The entry was taken away.
-    Gone(Name),
+    Removed(Name),
 }
 
 /// Where the configuration comes from.
@@ -147,7 +147,7 @@
     /// Their names.
     pub(crate) names: Vec<Name>,
     /// Whether the list has room for more, so that these are all.
-    pub(crate) is_all: bool,
+    pub(crate) is_complete: bool,
 }
 
 /// The group of all VMs.
@@ -170,7 +170,7 @@
 /// The order of claims on giving orders; a claim's place is its fence.
 pub(crate) trait Claims: 'static {
     /// Whether a claim came after the one with this fence.
-    fn has_successor(&self, fence: u64) -> impl Future<Output = Result<bool, StoreError>>;
+    fn has_later_claim(&self, fence: u64) -> impl Future<Output = Result<bool, StoreError>>;
 
     /// Claims, if `place` is the next; returns the fence, or [`StoreError::Conflict`] with
     /// the next place.
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -5,12 +5,12 @@
 //! soon read and past.
 
 use crate::gateway::fleet::Incarnation;
-use crate::gateway::gossip_message::{Digest, ToldTally, zones_of};
-use crate::gateway::gossip_sender::Told;
+use crate::gateway::gossip_message::{Digest, TallyPart, zones_of};
+use crate::gateway::gossip_sender::AdvertisedHoldings;
 use crate::gateway::gossip_targets::Targets;
-use crate::gateway::peers::Urgency;
+use crate::gateway::peers::UpdateScope;
 use crate::gateway::state::State;
-use crate::gateway::zone_loads::ZoneTelling;
+use crate::gateway::zone_loads::ZoneLoadSampler;
 use compio::BufResult;
 use compio::net::UdpSocket;
 use prost::Message;
@@ -49,11 +49,11 @@
     pub(super) socket: UdpSocket,
     pub(super) boot: u64,
     /// What peers were told that runners hold.
-    pub(super) told: RefCell<HashMap<Incarnation, Told>>,
+    pub(super) sent_holdings: RefCell<HashMap<Incarnation, AdvertisedHoldings>>,
     /// What other zones are told of this one's load.
-    pub(super) zone_telling: RefCell<ZoneTelling>,
+    pub(super) sent_zone_loads: RefCell<ZoneLoadSampler>,
     /// Counts the tellings of the demand.
-    demand_turn: Cell<u32>,
+    demand_round: Cell<u32>,
     /// Counts the turns, for the part of the VMs that is spoken to.
     turn: Cell<usize>,
     /// When another VM was last told all VMs.
@@ -73,9 +73,9 @@
             state,
             socket,
             boot,
-            told: RefCell::default(),
-            zone_telling: RefCell::default(),
-            demand_turn: Cell::new(0),
+            sent_holdings: RefCell::default(),
+            sent_zone_loads: RefCell::default(),
+            demand_round: Cell::new(0),
             // Others begin elsewhere, so that a VM hears of another zone in each turn.
             turn: Cell::new(usize::from(rand::random::<u16>())),
             told_all_at: Cell::new(None),
@@ -88,16 +88,16 @@
         let mut next_turn = Instant::now();
         let mut next_probe = next_turn + PROBE_INTERVAL;
         loop {
-            let urgent = self.state.peers.urgent_wait();
+            let urgent = self.state.peers.wait_for_update();
             let now = Instant::now();
             let targets = self.state.peers.targets(zone);
-            let urgency = self.state.peers.take_urgency();
+            let urgency = self.state.peers.take_update_scope();
             // Large fleets learn of holdings in turn: telling each change to all at once is more
             // than a small VM's link carries.
             let is_all = match urgency {
-                Urgency::All => true,
-                Urgency::Holdings => targets.far_turns() == 1,
-                Urgency::Zone | Urgency::Holder | Urgency::None => false,
+                UpdateScope::All => true,
+                UpdateScope::Holdings => targets.remote_rounds() == 1,
+                UpdateScope::Zone | UpdateScope::Leader | UpdateScope::None => false,
             };
             self.send_news(&targets.near).await;
             if now >= next_turn || is_all {
@@ -109,9 +109,9 @@
                     next_probe = now + PROBE_INTERVAL;
                     self.probe().await;
                 }
-            } else if urgency == Urgency::Zone {
+            } else if urgency == UpdateScope::Zone {
                 self.send_to(&self.digest(), &targets.near).await;
-            } else if urgency == Urgency::Holder {
+            } else if urgency == UpdateScope::Leader {
                 self.send_demand().await;
             }
             compio::time::sleep(MIN_INTERVAL).await;
@@ -130,18 +130,18 @@
         let now = Instant::now();
         let digest = self.digest();
         let holdings = self.holdings_messages();
-        let asked = self.state.peers.take_ask(now);
+        let asked = self.state.peers.take_view_request(now);
         if let Some(asked) = asked {
             let ask = Digest {
-                asks_vms: true,
+                requests_view: true,
                 ..digest.clone()
             };
             self.send_to(&ask, &[asked]).await;
         }
-        let sample = self.state.peers.sample(targets.vms_a_message());
+        let sample = self.state.peers.sample(targets.vms_per_message());
         let turn = self.turn.get();
         self.turn.set(turn.wrapping_add(1));
-        let next_in = INTERVAL * targets.near_turns() as u32;
+        let next_in = INTERVAL * targets.local_rounds() as u32;
         let own = self.tallies(|ledger| ledger.own_tally(now));
         let near = Digest {
             vms: zones_of(&sample, now),
@@ -150,10 +150,10 @@
             ..digest.clone()
         };
         // Whoever follows the log is listened for in its zone.
-        let is_to_zone = is_to_all || digest.followed.is_some();
+        let is_to_zone = is_to_all || digest.followed_log.is_some();
         let in_turn = match is_to_zone {
             true => targets.near.clone(),
-            false => targets.near_part(turn),
+            false => targets.local_part(turn),
         };
         self.send_to(&near, &in_turn).await;
         self.send_tallies(own.get(1..).unwrap_or_default(), next_in, &in_turn)
@@ -165,17 +165,17 @@
         let mut far: Vec<SocketAddr> = Vec::new();
         match is_to_all {
             true => far.extend(targets.far.values().flatten()),
-            false => far.extend(targets.far_part(turn).flat_map(|(_, part)| part)),
+            false => far.extend(targets.remote_part(turn).flat_map(|(_, part)| part)),
         }
-        let far_turns = targets.far_turns();
+        let remote_rounds = targets.remote_rounds();
         let mut to_far = Digest {
-            next_in_ms: (INTERVAL * far_turns as u32).as_millis() as u32,
+            next_in_ms: (INTERVAL * remote_rounds as u32).as_millis() as u32,
             ..digest
         };
-        if far_turns > 1 {
+        if remote_rounds > 1 {
             to_far.loads.clear();
             to_far.zone_loads = Some(self.zone_loads(targets, turn));
-            if turn.is_multiple_of(far_turns) {
+            if turn.is_multiple_of(remote_rounds) {
                 self.send_loads().await;
             }
         }
@@ -195,7 +195,7 @@
     }
 
     /// Tells what found no place in the messages before.
-    async fn send_tallies(&self, tallies: &[ToldTally], next_in: Duration, targets: &[SocketAddr]) {
+    async fn send_tallies(&self, tallies: &[TallyPart], next_in: Duration, targets: &[SocketAddr]) {
         for tally in tallies {
             let message = Digest {
                 boot: self.boot,
@@ -211,7 +211,7 @@
 
     /// Passes changes of the directory on.
     async fn send_news(&self, near: &[SocketAddr]) {
-        for news in self.state.peers.take_news() {
+        for news in self.state.peers.take_directory_updates() {
             let message = Digest {
                 boot: self.boot,
                 is_partial: true,
@@ -224,7 +224,7 @@
 
     /// Speaks to a VM that was lost: it may be back after a partition.
     async fn probe(&self) {
-        if let Some(lost) = self.state.peers.lost_one() {
+        if let Some(lost) = self.state.peers.random_lost_vm() {
             self.send_to(&self.digest(), &[lost]).await;
         }
     }
@@ -251,7 +251,7 @@
     /// Tells the VM that gives orders this VM's load by model, where messages to other zones leave it
     /// out.
     async fn send_loads(&self) {
-        let Some(holder) = self.state.peers.holder() else {
+        let Some(leader) = self.state.peers.leader() else {
             return;
         };
         let message = Digest {
@@ -261,30 +261,30 @@
             loads: self.loads(),
             ..Digest::default()
         };
-        self.send_to(&message, &[holder]).await;
+        self.send_to(&message, &[leader]).await;
     }
 
     /// Tells the VM that gives orders what is wanted here.
     async fn send_demand(&self) {
-        let Some(holder) = self.state.peers.holder() else {
+        let Some(leader) = self.state.peers.leader() else {
             return;
         };
         let mut demands = self.demands();
-        let demand_turn = self.demand_turn.get().wrapping_add(1);
-        self.demand_turn.set(demand_turn);
+        let demand_round = self.demand_round.get().wrapping_add(1);
+        self.demand_round.set(demand_round);
         // A demand that has ended is told as well: an empty list stands for it.
         loop {
             let rest = demands.split_off(demands.len().min(MAX_DEMANDS));
             let message = Digest {
                 boot: self.boot,
                 is_partial: true,
-                is_demand: true,
-                demand_turn,
+                has_demand: true,
+                demand_round,
                 has_more: !rest.is_empty(),
                 demands,
                 ..Digest::default()
             };
-            self.send_to(&message, &[holder]).await;
+            self.send_to(&message, &[leader]).await;
             if rest.is_empty() {
                 return;
             }
@@ -297,18 +297,18 @@
     /// messages.
     pub(crate) async fn send_prompts(self: Rc<Self>) {
         loop {
-            let sent = self.state.peers.prompts_wait();
+            let sent = self.state.peers.wait_for_prompts();
             let prompts = self
                 .state
                 .peers
-                .take_untold_prompts(MAX_PROMPTS, Instant::now());
+                .take_unsent_prompts(MAX_PROMPTS, Instant::now());
             if prompts.is_empty() {
                 sent.await;
                 continue;
             }
             let zone = &self.state.settings.availability_zone;
             let targets = self.state.peers.targets(zone);
-            if targets.near_turns() > 1 {
+            if targets.local_rounds() > 1 {
                 continue;
             }
             let message = Digest {
@@ -318,15 +318,15 @@
                 ..Digest::default()
             };
             self.send_to(&message, &targets.near).await;
-            let mut told = targets.near.len();
+            let mut sent_holdings = targets.near.len();
             // Where messages to other zones come seldom, prompts would be told too late.
-            if targets.far_turns() == 1 {
+            if targets.remote_rounds() == 1 {
                 for far in targets.far.values() {
                     self.send_to(&message, far).await;
-                    told += far.len();
+                    sent_holdings += far.len();
                 }
             }
-            compio::time::sleep(PROMPTS_PAUSE_A_PEER * told as u32).await;
+            compio::time::sleep(PROMPTS_PAUSE_A_PEER * sent_holdings as u32).await;
         }
     }
 
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -1,7 +1,7 @@
 //! The messages between VMs.
 
 use crate::callers::{SPANS, Tally, Usage};
-use crate::gateway::directory_updates::DirectoryNews;
+use crate::gateway::directory_updates::DirectoryUpdate;
 use crate::gateway::view::Sighting;
 use crate::inventory::Name;
 use prost::Message;
@@ -26,10 +26,10 @@
     pub(super) loads: Vec<ServerRequests>,
     /// Whether this message tells the demand at the sender.
     #[prost(bool, tag = "12")]
-    pub(super) is_demand: bool,
+    pub(super) has_demand: bool,
     /// Grows with each telling of the demand, whose messages share it.
     #[prost(uint32, tag = "14")]
-    pub(super) demand_turn: u32,
+    pub(super) demand_round: u32,
     /// Whether more of that demand follows in the next message.
     #[prost(bool, tag = "13")]
     pub(super) has_more: bool,
@@ -53,7 +53,7 @@
     pub(super) availability_zone: String,
     /// What the sender read of the log, if it follows it closely.
     #[prost(message, optional, tag = "11")]
-    pub(super) followed: Option<Followed>,
+    pub(super) followed_log: Option<Followed>,
     /// After how long the receiver is told again.
     #[prost(uint32, tag = "15")]
     pub(super) next_in_ms: u32,
@@ -62,13 +62,13 @@
     pub(super) vms: Vec<ZoneVms>,
     /// Whether the receiver is to tell all VMs that it knows.
     #[prost(bool, tag = "17")]
-    pub(super) asks_vms: bool,
+    pub(super) requests_view: bool,
     /// Changes of the directory, passed on to the own zone.
     #[prost(message, optional, tag = "18")]
-    pub(super) directory: Option<DirectoryNews>,
+    pub(super) directory: Option<DirectoryUpdate>,
     /// What organisations were granted at the sender, or in its zone for VMs of other zones.
     #[prost(message, optional, tag = "19")]
-    pub(super) tally: Option<ToldTally>,
+    pub(super) tally: Option<TallyPart>,
     /// The load of the sender's zone, for VMs of other zones of a large fleet, in place of its own.
     #[prost(message, optional, tag = "20")]
     pub(super) zone_loads: Option<ToldZoneLoads>,
@@ -207,7 +207,7 @@
 
 /// What organisations were granted at one VM, or in a zone.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct ToldTally {
+pub(super) struct TallyPart {
     /// How many VMs it sums up.
     #[prost(uint32, tag = "1")]
     pub(super) vms: u32,
@@ -231,7 +231,7 @@
     pub(super) granted: Vec<u64>,
 }
 
-impl ToldTally {
+impl TallyPart {
     /// The tellings of a tally, each short enough for a message; one of a VM without any grant
     /// tells that it is there.
     pub(super) fn parts(tally: &Tally) -> Vec<Self> {
@@ -343,5 +343,5 @@
     pub(super) server: String,
     /// How long the runner takes to read it, in microseconds.
     #[prost(uint32, tag = "2")]
-    pub(super) read_us: u32,
+    pub(super) prefill_us: u32,
 }
--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -46,7 +46,7 @@
         let now = Instant::now();
         for crash in &digest.crashes {
             let suspects = &self.state.suspects;
-            if suspects.note_crashes(crash.fingerprint, crash.crashes, now) {
+            if suspects.merge_crashes(crash.fingerprint, crash.crashes, now) {
                 info!(peer = %sender, fingerprint = crash.fingerprint, crashes = crash.crashes, "crash told");
             }
         }
@@ -57,16 +57,16 @@
         self.take_prompts(sender, &digest, now);
         self.take_tally(sender, &digest, now);
         if digest.has_loads {
-            self.state.peers.take_loads(sender, &digest);
+            self.state.peers.apply_loads(sender, &digest);
         }
-        if digest.is_demand {
-            self.state.peers.take_demand(sender, &digest);
+        if digest.has_demand {
+            self.state.peers.apply_demand(sender, &digest);
         }
-        self.state.peers.take_sightings(&digest, now);
+        self.state.peers.merge_sightings(&digest, now);
         if !digest.is_partial {
             self.state.peers.take(sender, &digest, now);
         }
-        digest.asks_vms
+        digest.requests_view
     }
 
     fn take_tally(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
@@ -87,7 +87,7 @@
         self.state.peers.take_prompts(sender, &digest.prompts);
         for prompt in &digest.prompts {
             if let Some(server) = self.state.fleet.server(&prompt.server) {
-                let read_ms = f64::from(prompt.read_us) / MICROS_PER_MILLI;
+                let read_ms = f64::from(prompt.prefill_us) / MICROS_PER_MILLI;
                 server.backlog.note(read_ms, now);
             }
         }
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -1,11 +1,11 @@
 //! What this VM tells the others: its load, its zone's, its demand, what runners hold.
 
 use crate::callers::{Ledger, Tally};
-use crate::gateway::directory_updates::told_holding;
+use crate::gateway::directory_updates::encode_holding;
 use crate::gateway::fleet::{Holding, Incarnation};
 use crate::gateway::gossip::{Gossip, INTERVAL};
 use crate::gateway::gossip_message::{
-    Digest, Followed, ServerHoldings, ServerRequests, ToldTally, ToldZoneLoads, WeightsDemand,
+    Digest, Followed, ServerHoldings, ServerRequests, TallyPart, ToldZoneLoads, WeightsDemand,
 };
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::log_follower::Reading;
@@ -26,13 +26,13 @@
 
 /// What peers were told that a runner holds.
 #[derive(Debug)]
-pub(super) struct Told {
+pub(super) struct AdvertisedHoldings {
     holdings: Vec<Holding>,
     changed_at: Instant,
     at: Option<Instant>,
 }
 
-impl Told {
+impl AdvertisedHoldings {
     /// What is to be told of a runner that was not told of yet.
     pub(super) fn new(holdings: &[Holding], now: Instant) -> Self {
         Self {
@@ -73,14 +73,14 @@
         let of_others = self
             .state
             .peers
-            .in_flight_of(&self.state.settings.availability_zone);
+            .zone_in_flight(&self.state.settings.availability_zone);
         let servers = self.state.fleet.servers();
         let sums = servers.iter().map(|server| {
             let others = of_others.get(&server.id).copied().unwrap_or(0);
             (short_id(&server.id), server.in_flight() + others)
         });
-        let told_every = INTERVAL * targets.far_turns() as u32;
-        let part = self.zone_telling.borrow_mut().part(
+        let told_every = INTERVAL * targets.remote_rounds() as u32;
+        let part = self.sent_zone_loads.borrow_mut().part(
             sums.collect(),
             turn,
             told_every,
@@ -91,12 +91,12 @@
     }
 
     /// The tellings of a tally; none where there are no organisations.
-    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> Tally) -> Vec<ToldTally> {
+    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> Tally) -> Vec<TallyPart> {
         let configuration = self.state.configuration();
         if configuration.is_none_or(|it| it.organisations.is_none()) {
             return Vec::new();
         }
-        ToldTally::parts(&tally(&mut self.state.ledger.borrow_mut()))
+        TallyPart::parts(&tally(&mut self.state.ledger.borrow_mut()))
     }
 
     /// What runners hold, if this VM gives orders, in as many messages as datagrams need: what
@@ -128,7 +128,7 @@
             is_leaving: state.shutdown.is_leaving(),
             availability_zone: state.settings.availability_zone.to_string(),
             next_in_ms: INTERVAL.as_millis() as u32,
-            followed: self.followed(),
+            followed_log: self.followed_log(),
             loads: self.loads(),
             fence: state.fence.get(),
             crashes: state.peers.crashes(),
@@ -165,7 +165,7 @@
     }
 
     /// What this VM read of the log, if it follows it closely.
-    fn followed(&self) -> Option<Followed> {
+    fn followed_log(&self) -> Option<Followed> {
         let now = Instant::now();
         if !self.state.follows_closely(now) {
             return None;
@@ -187,15 +187,15 @@
     fn due_holdings(&self) -> Vec<ServerHoldings> {
         let now = Instant::now();
         let view = self.state.leader_view.borrow();
-        let mut told = self.told.borrow_mut();
-        if told.len() > view.len() {
+        let mut sent_holdings = self.sent_holdings.borrow_mut();
+        if sent_holdings.len() > view.len() {
             let runs: HashSet<&Incarnation> = view.iter().map(|(run, _)| run).collect();
-            told.retain(|run, _| runs.contains(run));
+            sent_holdings.retain(|run, _| runs.contains(run));
         }
         let due = view.iter().filter(|(run, holdings)| {
-            let known = told
+            let known = sent_holdings
                 .entry(run.clone())
-                .or_insert_with(|| Told::new(holdings, now));
+                .or_insert_with(|| AdvertisedHoldings::new(holdings, now));
             known.note(holdings, now);
             let server = self.state.fleet.run(run);
             let is_listed = server.is_some_and(|server| server.lists(holdings));
@@ -210,6 +210,6 @@
     ServerHoldings {
         server: run.id.to_string(),
         started_ms: run.started_ms,
-        models: holdings.iter().map(told_holding).collect(),
+        models: holdings.iter().map(encode_holding).collect(),
     }
 }
--- a/src/gateway/gossip_targets.rs
+++ b/src/gateway/gossip_targets.rs
@@ -35,33 +35,36 @@
     }
 
     /// After how many turns each VM in another zone has been spoken to once.
-    pub(super) fn far_turns(&self) -> usize {
+    pub(super) fn remote_rounds(&self) -> usize {
         self.far_count().div_ceil(MAX_FAR_MESSAGES).max(1)
     }
 
     /// After how many turns each VM in the own zone has been spoken to once.
-    pub(super) fn near_turns(&self) -> usize {
+    pub(super) fn local_rounds(&self) -> usize {
         self.near.len().div_ceil(MAX_NEAR_MESSAGES).max(1)
     }
 
     /// How many VMs a message to the own zone tells of.
-    pub(super) fn vms_a_message(&self) -> usize {
+    pub(super) fn vms_per_message(&self) -> usize {
         let vms = self.far_count() + self.near.len();
-        let heard = self.near.len() / self.near_turns();
+        let heard = self.near.len() / self.local_rounds();
         let told = (vms * TELLINGS_A_TURN).div_ceil(heard.max(1));
         told.min(MAX_VMS_A_MESSAGE)
     }
 
     /// The part of the own zone that is spoken to in this `turn`.
-    pub(super) fn near_part(&self, turn: usize) -> Vec<SocketAddr> {
-        part(&self.near, turn, self.near_turns())
+    pub(super) fn local_part(&self, turn: usize) -> Vec<SocketAddr> {
+        part(&self.near, turn, self.local_rounds())
     }
 
     /// The part of the VMs in other zones that is spoken to in this `turn`: so many of each zone
     /// that all have been in as many turns as there are parts, and that each zone hears something
     /// in each turn.
-    pub(super) fn far_part(&self, turn: usize) -> impl Iterator<Item = (&Name, Vec<SocketAddr>)> {
-        let parts = self.far_turns();
+    pub(super) fn remote_part(
+        &self,
+        turn: usize,
+    ) -> impl Iterator<Item = (&Name, Vec<SocketAddr>)> {
+        let parts = self.remote_rounds();
         let far = self.far.iter();
         far.map(move |(zone, vms)| (zone, part(vms, turn, parts)))
     }
--- a/src/gateway/grant.rs
+++ b/src/gateway/grant.rs
@@ -1,7 +1,7 @@
 //! A request's part of its organisation's quota, given back where the request does not run.
 
 use crate::callers::{Granted, Organisation, OverQuota};
-use crate::gateway::Ask;
+use crate::gateway::CallerRequest;
 use crate::gateway::failure::Failure;
 use crate::gateway::state::State;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     /// Fails where the quota is spent.
     pub(crate) fn take(
         state: &Rc<State>,
-        ask: &Ask,
+        ask: &CallerRequest,
         organisation: Option<&Organisation>,
         now: Instant,
     ) -> Result<Option<Self>, Failure> {
@@ -61,7 +61,7 @@
 /// Tells why a request is beyond its organisation's quota.
 fn refuse(
     state: &State,
-    ask: &Ask,
+    ask: &CallerRequest,
     organisation: &Organisation,
     vms: usize,
     over: &OverQuota,
--- a/src/gateway/hold_time.rs
+++ b/src/gateway/hold_time.rs
@@ -17,7 +17,7 @@
 
 /// The times that bear on one request for a stream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Patience {
+pub(crate) struct RequestTiming {
     /// When it arrived.
     pub(crate) arrived: Instant,
     /// The time to the first event within which the answer has its full worth.
@@ -28,14 +28,14 @@
     pub(crate) deadline: Instant,
 }
 
-impl Patience {
+impl RequestTiming {
     /// When a prompt that takes so long to read must be sent to be answered in time.
-    pub(crate) fn due(&self, read: Duration) -> Instant {
+    pub(crate) fn send_by(&self, read: Duration) -> Instant {
         self.arrived + self.target.saturating_sub(read + FIRST_EVENT)
     }
 
     /// Until when it is held: afterwards its caller may have left before an answer begins.
-    pub(crate) fn limit(&self) -> Instant {
+    pub(crate) fn hold_limit(&self) -> Instant {
         let gap = CALLER_GAP
             .max(self.target * CALLER_GAP_TARGETS)
             .max(self.max_pause * CALLER_GAP_PAUSES);
--- a/src/gateway/load_limit.rs
+++ b/src/gateway/load_limit.rs
@@ -10,13 +10,13 @@
 
 /// Counts the loads that this VM began, and allows for those of the holder before it.
 #[derive(Debug)]
-pub(crate) struct Ceiling {
+pub(crate) struct LoadRateLimit {
     window: Duration,
     begun: RefCell<VecDeque<Instant>>,
     taken_over_at: Cell<Option<Instant>>,
 }
 
-impl Ceiling {
+impl LoadRateLimit {
     /// No loads yet, counted over `window`.
     pub(crate) fn new(window: Duration) -> Self {
         Self {
@@ -27,7 +27,7 @@
     }
 
     /// Notes that another VM gave orders until now.
-    pub(crate) fn take_over(&self, now: Instant) {
+    pub(crate) fn note_takeover(&self, now: Instant) {
         self.taken_over_at.set(Some(now));
     }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -53,7 +53,7 @@
 mod watch;
 mod zone_loads;
 
-pub(crate) use caller_request::{Ask, Generation};
+pub(crate) use caller_request::{CallerRequest, Generation};
 pub(crate) use configuration::{
     Configuration, Engine, Limits, Model, Route, RouteKind, Service, Target,
 };
--- a/src/gateway/order_dispatch.rs
+++ b/src/gateway/order_dispatch.rs
@@ -1,9 +1,9 @@
 //! Sends the leader's orders to model runners and tracks the state of these runners.
 
 use crate::gateway::fleet::{Incarnation, Server};
-use crate::gateway::load_limit::Ceiling;
+use crate::gateway::load_limit::LoadRateLimit;
 use crate::gateway::order_queue::OrderTarget;
-use crate::gateway::peers::{Urgency, WantedRate};
+use crate::gateway::peers::{DemandRate, UpdateScope};
 use crate::gateway::planning::{PlacementPlanner, RunnerPlan, RunnerView};
 use crate::gateway::runner_state::RunnerState;
 use crate::gateway::state::State;
@@ -31,7 +31,7 @@
     pub(super) fence: Cell<Option<u64>>,
     pub(super) was_fenced: Cell<bool>,
     pub(super) runner_states: RefCell<BTreeMap<Incarnation, RunnerState>>,
-    ceiling: Ceiling,
+    ceiling: LoadRateLimit,
     /// When each model was last requested.
     last_requested_at: RefCell<HashMap<Name, Instant>>,
 }
@@ -39,7 +39,7 @@
 impl<R: RunnerControl> OrderDispatcher<R> {
     /// Creates a dispatcher that sends no orders until [`start`](Self::start).
     pub(crate) fn new(state: Rc<State>, runner_control: R) -> Rc<Self> {
-        let ceiling = Ceiling::new(state.settings.bounds.load_window);
+        let ceiling = LoadRateLimit::new(state.settings.bounds.load_window);
         Rc::new(Self {
             state,
             runner_control,
@@ -65,13 +65,13 @@
     /// loads still count towards the load limit.
     pub(crate) fn start(&self, fence: u64) {
         if fence > FIRST_FENCE {
-            self.ceiling.take_over(Instant::now());
+            self.ceiling.note_takeover(Instant::now());
         }
         self.runner_states.borrow_mut().clear();
         self.state.metrics.is_leading.set(1);
         self.fence.set(Some(fence));
         self.state.fence.set(fence);
-        self.state.peers.hurry();
+        self.state.peers.trigger_update_to_all();
     }
 
     /// Stops sending orders.
@@ -117,7 +117,7 @@
     /// Returns the models that were requested within [`RECENT_REQUEST_PERIOD`].
     fn recently_requested_models(
         &self,
-        demand: &HashMap<Weights, WantedRate>,
+        demand: &HashMap<Weights, DemandRate>,
         now: Instant,
     ) -> HashSet<Name> {
         let mut last_requested_at = self.last_requested_at.borrow_mut();
@@ -219,7 +219,7 @@
         if has_changed {
             *self.state.leader_view.borrow_mut() = view;
             self.state.changed.notify();
-            self.state.peers.hurry_to(Urgency::Holdings);
+            self.state.peers.trigger_update(UpdateScope::Holdings);
         }
     }
 
--- a/src/gateway/peer.rs
+++ b/src/gateway/peer.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Weights;
 use crate::gateway::gossip_message::{Digest, Followed};
 use crate::gateway::log_follower::{Reading, Readings};
-use crate::gateway::peers::{MICROS_PER_MILLI, SILENCE_LIMIT, WantedRate};
+use crate::gateway::peers::{DemandRate, MICROS_PER_MILLI, SILENCE_LIMIT};
 use crate::inventory::Name;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -21,11 +21,11 @@
     pub(super) readings: Option<Readings>,
     pub(super) fence: u64,
     pub(super) loads: HashMap<Name, Vec<(Name, u32)>>,
-    pub(super) demands: Vec<(Weights, WantedRate)>,
+    pub(super) demands: Vec<(Weights, DemandRate)>,
     /// The demand as far as the messages that tell it have come.
-    pub(super) coming_demands: Vec<(Weights, WantedRate)>,
+    pub(super) coming_demands: Vec<(Weights, DemandRate)>,
     /// The telling that they belong to.
-    pub(super) demand_turn: u32,
+    pub(super) demand_round: u32,
 }
 
 impl Peer {
@@ -35,12 +35,14 @@
             heard_at: now,
             counts_for: counts_for(digest),
             availability_zone: digest.availability_zone.as_str().into(),
-            readings: digest.followed.map(|followed| read_followed(followed, now)),
+            readings: digest
+                .followed_log
+                .map(|followed_log| read_followed(followed_log, now)),
             fence: digest.fence,
             loads: read_loads(digest),
             demands: Vec::new(),
             coming_demands: Vec::new(),
-            demand_turn: 0,
+            demand_round: 0,
         }
     }
 }
@@ -65,13 +67,13 @@
     }
 }
 
-pub(super) fn read_demands(digest: &Digest) -> impl Iterator<Item = (Weights, WantedRate)> {
+pub(super) fn read_demands(digest: &Digest) -> impl Iterator<Item = (Weights, DemandRate)> {
     digest.demands.iter().map(|demand| {
         let weights = Weights {
             model: demand.model.as_str().into(),
             adapter: demand.adapter.as_deref().map(Name::from),
         };
-        let rate = WantedRate {
+        let rate = DemandRate {
             busy_ms_per_s: f64::from(demand.busy_us_per_s) / MICROS_PER_MILLI,
             requests_per_s: f64::from(demand.requests_per_1000_s) / 1_000.0,
             waiting: demand.waiting,
@@ -80,7 +82,7 @@
     })
 }
 
-fn read_followed(followed: Followed, now: Instant) -> Readings {
+fn read_followed(followed_log: Followed, now: Instant) -> Readings {
     let reading = |news, age_ms| Reading {
         news,
         at: now
@@ -88,8 +90,11 @@
             .unwrap_or(now),
     };
     Readings {
-        directory_end: followed.directory_end,
-        directory: reading(followed.directory_news, followed.directory_age_ms),
-        configuration: reading(followed.configuration_news, followed.configuration_age_ms),
+        directory_end: followed_log.directory_end,
+        directory: reading(followed_log.directory_news, followed_log.directory_age_ms),
+        configuration: reading(
+            followed_log.configuration_news,
+            followed_log.configuration_age_ms,
+        ),
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,7 +1,7 @@
 //! What other VMs told: their load, their demand, and who gives orders.
 
 use crate::gateway::Weights;
-use crate::gateway::directory_updates::DirectoryNews;
+use crate::gateway::directory_updates::DirectoryUpdate;
 use crate::gateway::fleet::Holding;
 use crate::gateway::gossip_message::{Crashes, Digest, SentPrompt, sightings_of};
 use crate::gateway::gossip_targets::Targets;
@@ -22,13 +22,13 @@
 pub(super) const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
 /// VMs that are members of the log's group, at least: twice as many as it deals partitions to, so that
 /// with a zone or two gone its list of owners still is not taken for a whole fleet.
-pub(super) const MEMBERS: usize = 24;
+pub(super) const GROUP_MEMBERS: usize = 24;
 /// Microseconds in a millisecond.
 pub(super) const MICROS_PER_MILLI: f64 = 1_000.0;
 
 /// The demand for some weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct WantedRate {
+pub(crate) struct DemandRate {
     /// What it takes of runners' time, in milliseconds a second.
     pub(crate) busy_ms_per_s: f64,
     /// Requests a second.
@@ -39,12 +39,12 @@
 
 /// Who is told of a change out of turn.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Urgency {
+pub(crate) enum UpdateScope {
     /// Nobody.
     #[default]
     None,
     /// The VM that gives orders.
-    Holder,
+    Leader,
     /// The own zone.
     Zone,
     /// All, of what runners hold.
@@ -67,14 +67,14 @@
     has_read_members: Cell<bool>,
     /// Whether these were all at the last look.
     has_all_members: Cell<bool>,
-    has_released: Cell<bool>,
+    leadership_released: Cell<bool>,
     /// Whether VMs in other zones are spoken to seldom.
     is_far_late: Cell<bool>,
-    urgency: Cell<Urgency>,
+    urgency: Cell<UpdateScope>,
     is_urgent: Signal,
     crashes: RefCell<Vec<(Crashes, Instant)>>,
     /// Changes of the directory that the own zone is yet to be told of.
-    news: RefCell<Vec<DirectoryNews>>,
+    news: RefCell<Vec<DirectoryUpdate>>,
     /// Prompts that peers are yet to be told of.
     prompts: RefCell<Vec<(SentPrompt, Instant)>>,
     has_prompts: Signal,
@@ -91,7 +91,7 @@
             members: RefCell::default(),
             has_read_members: Cell::default(),
             has_all_members: Cell::default(),
-            has_released: Cell::default(),
+            leadership_released: Cell::default(),
             is_far_late: Cell::default(),
             urgency: Cell::default(),
             is_urgent: Signal::default(),
@@ -111,7 +111,7 @@
 
     /// Whether the other VMs were looked for: the log listed members, or there was time to be found.
     /// Before, this VM has no part of the slack of retries and makes few refusals good.
-    pub(crate) fn are_sought(&self, now: Instant) -> bool {
+    pub(crate) fn is_discovery_done(&self, now: Instant) -> bool {
         self.has_read_members.get() || self.view.borrow().is_settled(now)
     }
 
@@ -122,25 +122,25 @@
 
     /// How many VMs there were at most, this one included; `None` while this one has just started
     /// and may know too few: the log lists not all of a large group.
-    pub(crate) fn most_vms(&self, now: Instant) -> Option<usize> {
+    pub(crate) fn peak_vms(&self, now: Instant) -> Option<usize> {
         let view = self.view.borrow();
         let listed = self.members.borrow().len() + 1;
         let is_known = self.has_all_members.get() || view.is_settled(now);
-        is_known.then(|| view.most_vms().max(listed))
+        is_known.then(|| view.peak_vms().max(listed))
     }
 
     /// How many VMs share what all may grant together: as many as there ever were, or as are known
     /// so far. Those that are not heard may still grant their part.
     pub(crate) fn fleet_size(&self, now: Instant) -> usize {
-        let known = || self.view.borrow().most_vms();
-        self.most_vms(now).unwrap_or_else(known)
+        let known = || self.view.borrow().peak_vms();
+        self.peak_vms(now).unwrap_or_else(known)
     }
 
-    /// Whether this VM is to be a member of the log's group: one of the first [`MEMBERS`] in an
+    /// Whether this VM is to be a member of the log's group: one of the first [`GROUP_MEMBERS`] in an
     /// order that all VMs agree on, or one that may know too few others to tell.
-    pub(crate) fn is_member_wanted(&self, now: Instant) -> bool {
+    pub(crate) fn should_join_group(&self, now: Instant) -> bool {
         let view = self.view.borrow();
-        !view.is_settled(now) || view.rank(self.own) < MEMBERS
+        !view.is_settled(now) || view.rank(self.own) < GROUP_MEMBERS
     }
 
     /// How many VMs of `zone` come before this one by address.
@@ -161,9 +161,9 @@
     }
 
     /// The VM that is to be asked for all that it knows, if any is.
-    pub(super) fn take_ask(&self, now: Instant) -> Option<SocketAddr> {
+    pub(super) fn take_view_request(&self, now: Instant) -> Option<SocketAddr> {
         let mut view = self.view.borrow_mut();
-        if !view.take_ask(now) {
+        if !view.take_view_request(now) {
             return None;
         }
         let draw = rand::random();
@@ -173,8 +173,8 @@
     }
 
     /// A VM that was lost and may be back.
-    pub(super) fn lost_one(&self) -> Option<SocketAddr> {
-        self.view.borrow().lost_one(rand::random())
+    pub(super) fn random_lost_vm(&self) -> Option<SocketAddr> {
+        self.view.borrow().random_lost_vm(rand::random())
     }
 
     /// Requests of all other VMs on a server.
@@ -191,7 +191,7 @@
     }
 
     /// Requests of the other VMs of a zone, by server.
-    pub(super) fn in_flight_of(&self, zone: &Name) -> HashMap<Name, u32> {
+    pub(super) fn zone_in_flight(&self, zone: &Name) -> HashMap<Name, u32> {
         let heard = self.heard.borrow();
         let mut sums: HashMap<Name, u32> = HashMap::new();
         let peers = heard
@@ -220,12 +220,12 @@
     }
 
     /// Whether the VM that gave orders last was heard to give them up.
-    pub(crate) fn has_released(&self) -> bool {
-        self.has_released.get()
+    pub(crate) fn leadership_released(&self) -> bool {
+        self.leadership_released.get()
     }
 
     /// The demand at all other VMs.
-    pub(crate) fn demands(&self) -> Vec<(Weights, WantedRate)> {
+    pub(crate) fn demands(&self) -> Vec<(Weights, DemandRate)> {
         let heard = self.heard.borrow();
         heard
             .values()
@@ -234,47 +234,47 @@
     }
 
     /// Tells all peers of a change at once.
-    pub(crate) fn hurry(&self) {
-        self.hurry_to(Urgency::All);
+    pub(crate) fn trigger_update_to_all(&self) {
+        self.trigger_update(UpdateScope::All);
     }
 
     /// Tells peers of a change at once.
-    pub(crate) fn hurry_to(&self, urgency: Urgency) {
+    pub(crate) fn trigger_update(&self, urgency: UpdateScope) {
         self.urgency.set(self.urgency.get().max(urgency));
         self.is_urgent.notify();
     }
 
     /// Takes who is to be told of a change out of turn.
-    pub(super) fn take_urgency(&self) -> Urgency {
+    pub(super) fn take_update_scope(&self) -> UpdateScope {
         self.urgency.take()
     }
 
     /// Passes changes of the directory on to the own zone.
-    pub(super) fn tell_news(&self, news: Vec<DirectoryNews>) {
+    pub(super) fn queue_directory_updates(&self, news: Vec<DirectoryUpdate>) {
         self.news.borrow_mut().extend(news);
-        self.hurry_to(Urgency::Zone);
+        self.trigger_update(UpdateScope::Zone);
     }
 
     /// Takes the changes of the directory that the own zone is yet to be told of.
-    pub(super) fn take_news(&self) -> Vec<DirectoryNews> {
+    pub(super) fn take_directory_updates(&self) -> Vec<DirectoryUpdate> {
         self.news.take()
     }
 
     /// Tells peers of a crash with a request aboard.
-    pub(crate) fn tell_crash(&self, fingerprint: u64, crashes: u32, now: Instant) {
+    pub(crate) fn report_crash(&self, fingerprint: u64, crashes: u32, now: Instant) {
         let crash = Crashes {
             fingerprint,
             crashes,
         };
         self.crashes.borrow_mut().push((crash, now));
-        self.hurry();
+        self.trigger_update_to_all();
     }
 
     /// Tells peers of a prompt that is being sent to a runner.
-    pub(crate) fn tell_prompt(&self, server: &Name, read_ms: f64, now: Instant) {
+    pub(crate) fn report_prompt(&self, server: &Name, read_ms: f64, now: Instant) {
         let prompt = SentPrompt {
             server: server.to_string(),
-            read_us: (read_ms * MICROS_PER_MILLI) as u32,
+            prefill_us: (read_ms * MICROS_PER_MILLI) as u32,
         };
         self.prompts.borrow_mut().push((prompt, now));
         self.has_prompts.notify();
@@ -282,10 +282,10 @@
 
     /// Takes prompts that peers are yet to be told of, `limit` at most; those that have been read
     /// by now would only make their runners look busy.
-    pub(super) fn take_untold_prompts(&self, limit: usize, now: Instant) -> Vec<SentPrompt> {
+    pub(super) fn take_unsent_prompts(&self, limit: usize, now: Instant) -> Vec<SentPrompt> {
         let mut prompts = self.prompts.borrow_mut();
         prompts.retain(|(prompt, at)| {
-            let read_time = Duration::from_micros(u64::from(prompt.read_us));
+            let read_time = Duration::from_micros(u64::from(prompt.prefill_us));
             now.saturating_duration_since(*at) < read_time
         });
         let count = prompts.len().min(limit);
@@ -306,12 +306,12 @@
     }
 
     /// Waits for a prompt to tell of.
-    pub(super) fn prompts_wait(&self) -> impl Future<Output = ()> + use<> {
+    pub(super) fn wait_for_prompts(&self) -> impl Future<Output = ()> + use<> {
         self.has_prompts.wait()
     }
 
     /// Waits for a change that peers are told of out of turn.
-    pub(super) fn urgent_wait(&self) -> impl Future<Output = ()> + use<> {
+    pub(super) fn wait_for_update(&self) -> impl Future<Output = ()> + use<> {
         self.is_urgent.wait()
     }
 
@@ -322,15 +322,15 @@
     }
 
     /// Takes over which VMs a peer knows.
-    pub(super) fn take_sightings(&self, digest: &Digest, now: Instant) {
+    pub(super) fn merge_sightings(&self, digest: &Digest, now: Instant) {
         for sighting in sightings_of(&digest.vms, now) {
-            self.note(sighting, now);
+            self.record_sighting(sighting, now);
         }
     }
 
-    fn note(&self, sighting: Sighting, now: Instant) {
+    fn record_sighting(&self, sighting: Sighting, now: Instant) {
         let address = sighting.address;
-        if address != self.own && self.view.borrow_mut().note(sighting, now) {
+        if address != self.own && self.view.borrow_mut().record_sighting(sighting, now) {
             info!(peer = %address, "peer known");
         }
     }
@@ -340,14 +340,14 @@
         let mut heard = self.heard.borrow_mut();
         let held = heard.get(&sender).is_some_and(|peer| peer.fence > 0);
         if digest.fence > 0 {
-            self.has_released.set(false);
+            self.leadership_released.set(false);
         } else if held {
-            self.has_released.set(true);
+            self.leadership_released.set(true);
         }
         if digest.is_leaving {
             heard.remove(&sender);
             let mut view = self.view.borrow_mut();
-            view.note_left(sender, digest.boot, now);
+            view.record_departure(sender, digest.boot, now);
             return;
         }
         let mut peer = Peer::read(digest, now);
@@ -357,7 +357,7 @@
             boot: digest.boot,
             seen_at: now,
         };
-        self.note(sighting, now);
+        self.record_sighting(sighting, now);
         if let Some(told) = &digest.zone_loads {
             let zone = &peer.availability_zone;
             self.zone_loads.borrow_mut().take(zone, told.sums(), now);
@@ -369,26 +369,26 @@
             }
             peer.demands = before.demands;
             peer.coming_demands = before.coming_demands;
-            peer.demand_turn = before.demand_turn;
+            peer.demand_round = before.demand_round;
         }
         heard.insert(sender, peer);
     }
 
     /// Takes over a peer's load where it comes by itself.
-    pub(super) fn take_loads(&self, sender: SocketAddr, digest: &Digest) {
+    pub(super) fn apply_loads(&self, sender: SocketAddr, digest: &Digest) {
         if let Some(peer) = self.heard.borrow_mut().get_mut(&sender) {
             peer.loads = read_loads(digest);
         }
     }
 
     /// Takes over a part of the demand that a peer tells; all of it counts once it is there.
-    pub(super) fn take_demand(&self, sender: SocketAddr, digest: &Digest) {
+    pub(super) fn apply_demand(&self, sender: SocketAddr, digest: &Digest) {
         let mut heard = self.heard.borrow_mut();
         let Some(peer) = heard.get_mut(&sender) else {
             return;
         };
-        if peer.demand_turn != digest.demand_turn {
-            peer.demand_turn = digest.demand_turn;
+        if peer.demand_round != digest.demand_round {
+            peer.demand_round = digest.demand_round;
             peer.coming_demands.clear();
         }
         peer.coming_demands.extend(read_demands(digest));
@@ -430,16 +430,16 @@
                 of_zone.or_default().push(vm.address);
             }
         }
-        self.is_far_late.set(targets.far_turns() > 1);
+        self.is_far_late.set(targets.remote_rounds() > 1);
         targets
     }
 
     /// The VM that gives orders, if it was heard.
-    pub(super) fn holder(&self) -> Option<SocketAddr> {
+    pub(super) fn leader(&self) -> Option<SocketAddr> {
         let heard = self.heard.borrow();
         let holders = heard.iter().filter(|(_, peer)| peer.fence > 0);
-        let holder = holders.max_by_key(|(_, peer)| peer.fence)?;
-        Some(*holder.0)
+        let leader = holders.max_by_key(|(_, peer)| peer.fence)?;
+        Some(*leader.0)
     }
 
     /// Forgets VMs that fell silent, what those told that are not heard any more, and crashes
--- a/src/gateway/planning.rs
+++ b/src/gateway/planning.rs
@@ -1,7 +1,7 @@
 //! Plans which runner loads and unloads which models and adapters: models with [`SwapPlanner`],
 //! then adapters.
 
-use crate::gateway::peers::WantedRate;
+use crate::gateway::peers::DemandRate;
 use crate::gateway::swaps::SwapPlanner;
 use crate::gateway::{Engine, Model, Weights};
 use crate::inventory::Name;
@@ -70,7 +70,7 @@
     /// Runners of the service.
     pub(crate) runners: &'a [RunnerView],
     /// Demand summed over all VMs.
-    pub(crate) demand: &'a HashMap<Weights, WantedRate>,
+    pub(crate) demand: &'a HashMap<Weights, DemandRate>,
     /// Models that were requested recently.
     pub(crate) recently_requested: &'a HashSet<Name>,
     /// Number of loads from the weight store that may start now.
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -8,8 +8,8 @@
 use crate::gateway::fleet::Server;
 use crate::gateway::grant::Grant;
 use crate::gateway::state::State;
-use crate::gateway::wait_queue::Turns;
-use crate::gateway::{Ask, Malformed, Protocol, RouteKind, SendOptions};
+use crate::gateway::wait_queue::WaitQueues;
+use crate::gateway::{CallerRequest, Malformed, Protocol, RouteKind, SendOptions};
 use crate::http::{Body, ReadError, read_body};
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -38,8 +38,8 @@
 /// Passes requests on.
 pub(crate) struct Relay<P> {
     pub(crate) state: Rc<State>,
-    pub(crate) links: Links,
-    pub(crate) turns: Rc<Turns>,
+    pub(crate) pool: Links,
+    pub(crate) turns: Rc<WaitQueues>,
     budget: RetryBudget,
     protocol: PhantomData<P>,
 }
@@ -54,7 +54,7 @@
             window: bounds.retry_window,
         });
         Self {
-            links: Links::new(state.metrics.connections_opened.clone()),
+            pool: Links::new(state.metrics.connections_opened.clone()),
             turns: Rc::default(),
             state,
             budget,
@@ -66,7 +66,7 @@
     pub(crate) async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
-        let ask = match P::read_ask(&head) {
+        let ask = match P::read_caller_request(&head) {
             Ok(ask) => ask,
             Err(Malformed(why)) => {
                 warn!(why, "request malformed");
@@ -92,7 +92,7 @@
 
     async fn answer(
         self: Rc<Self>,
-        ask: Ask,
+        ask: CallerRequest,
         body: Incoming,
         arrived: Instant,
     ) -> Result<Response<Body>, Failure> {
@@ -109,7 +109,7 @@
     /// Finds the route and reads the body.
     async fn open_call(
         &self,
-        mut ask: Ask,
+        mut ask: CallerRequest,
         body: Incoming,
         arrived: Instant,
     ) -> Result<Call, Failure> {
@@ -215,7 +215,7 @@
             Ok(Ok(body)) => {
                 server.note_success();
                 let head = exchange.head.clone();
-                self.links.keep(exchange);
+                self.pool.keep(exchange);
                 Some((head, body.to_bytes()))
             }
             Ok(Err(error)) => {
@@ -231,16 +231,16 @@
     pub(crate) fn note_broken(&self, call: &Call, server: &Rc<Server>) {
         let now = Instant::now();
         server.note_failure(now);
-        self.links.clear(server);
+        self.pool.clear(server);
         let state = self.state.clone();
         let server = server.clone();
         let fingerprint = call.fingerprint;
         let id = call.ask.id.clone();
         compio::runtime::spawn(async move {
             if is_refused(server.address).await {
-                let crashes = state.suspects.note_crash(fingerprint, now);
+                let crashes = state.suspects.record_crash(fingerprint, now);
                 warn!(request = %id, server = %server.id, fingerprint, crashes, "server crashed");
-                state.peers.tell_crash(fingerprint, crashes, now);
+                state.peers.report_crash(fingerprint, crashes, now);
             }
         })
         .detach();
@@ -277,7 +277,7 @@
             return true;
         }
         let now = Instant::now();
-        let vms = self.state.peers.most_vms(now);
+        let vms = self.state.peers.peak_vms(now);
         let is_taken = self.budget.take(&call.service, vms, now);
         call.has_retry.set(is_taken);
         if !is_taken {
@@ -318,7 +318,7 @@
         self.note_sending(call, server);
         let request = || P::to_server(&call.ask, &options);
         let sent_at = Instant::now();
-        let sent = self.links.exchange::<P>(server, call.model(), request);
+        let sent = self.pool.exchange::<P>(server, call.model(), request);
         let sent = self.await_head(call, server, sent).await;
         let now = Instant::now();
         match sent {
@@ -368,7 +368,7 @@
         if call.ask.generation.is_some() {
             server.backlog.note(call.cost.read_ms, now);
             let peers = &self.state.peers;
-            peers.tell_prompt(&server.id, call.cost.read_ms, now);
+            peers.report_prompt(&server.id, call.cost.read_ms, now);
         }
     }
 
@@ -386,11 +386,12 @@
             .request_id
             .as_ref()
             .is_some_and(|id| *id != call.ask.id);
-        let is_refused = exchange.reply.is_not_run || status == StatusCode::MISDIRECTED_REQUEST;
+        let is_refused =
+            exchange.reply.is_not_executed || status == StatusCode::MISDIRECTED_REQUEST;
         if is_refused && !is_other {
             self.state.metrics.note_attempt("refused");
             self.note_refused(call, &exchange, now);
-            self.links.keep(exchange);
+            self.pool.keep(exchange);
             if call.refused >= MAX_REFUSED {
                 return Err(Some(self.give_up(call)));
             }
@@ -401,7 +402,7 @@
             warn!(request = %call.ask.id, server = %server.id, is_other, "answer is not the request's");
             self.state.metrics.note_attempt("not_its_answer");
             server.note_failure(now);
-            self.links.clear(&server);
+            self.pool.clear(&server);
             if call.may_run_again() {
                 return Err(None);
             }
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -6,7 +6,7 @@
 use crate::gateway::failure::Failure;
 use crate::gateway::fleet::Server;
 use crate::gateway::relay::Relay;
-use crate::gateway::wait_queue::Turn;
+use crate::gateway::wait_queue::QueuedRequest;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tracing::info;
@@ -124,8 +124,8 @@
                 return obstacle.give_up(call);
             }
             if let Some(weights) = call.weights() {
-                let due = call.patience().due(call.read_time());
-                turn.get_or_insert_with(|| self.turns.enter(&weights, due));
+                let send_by = call.patience().send_by(call.read_time());
+                turn.get_or_insert_with(|| self.turns.enqueue(&weights, send_by));
                 if matches!(obstacle, Obstacle::NoServer) {
                     waiting.get_or_insert_with(|| self.state.wait_for(&weights));
                 }
@@ -140,7 +140,7 @@
     }
 
     /// The server that the request can be sent to now.
-    fn look(&self, call: &Call, turn: Option<&Turn>) -> Result<Rc<Server>, Obstacle> {
+    fn look(&self, call: &Call, turn: Option<&QueuedRequest>) -> Result<Rc<Server>, Obstacle> {
         let choice = self.pick(call).ok_or(Obstacle::NoServer)?;
         let candidate = &choice.candidate;
         // A stream that was begun goes on even where others have to wait.
@@ -154,11 +154,11 @@
             let is_next = match turn {
                 Some(turn) => turn.is_next(now),
                 None => {
-                    let due = call.patience().due(call.read_time());
-                    self.turns.is_first(&weights, due, now)
+                    let send_by = call.patience().send_by(call.read_time());
+                    self.turns.would_be_first(&weights, send_by, now)
                 }
             };
-            if !is_next || candidate.is_reading(call.cost.read_ms, max_pause_ms) {
+            if !is_next || candidate.defers_prompt(call.cost.read_ms, max_pause_ms) {
                 return Err(Obstacle::Reading(choice));
             }
         }
@@ -211,7 +211,7 @@
     fn candidate(&self, call: &Call, server: &Server, now: Instant) -> Candidate {
         let in_flight = server.in_flight() + self.state.peers.in_flight(&server.id);
         let zone = &self.state.settings.availability_zone;
-        let is_connected = self.links.has_idle(server, now);
+        let is_connected = self.pool.has_idle(server, now);
         server.with(|entry| Candidate {
             in_flight,
             slots: entry.slots,
@@ -219,7 +219,7 @@
             is_near: entry.availability_zone == *zone,
             is_far_late: self.state.peers.is_far_late(),
             is_connected,
-            is_brief: call.ask.generation.is_none(),
+            is_short_call: call.ask.generation.is_none(),
             has_failed: server.is_passed_over(now) || call.tried.contains(&server.id),
         })
     }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -4,10 +4,10 @@
 use crate::gateway::election::LeaderElection;
 use crate::gateway::fleet::Incarnation;
 use crate::gateway::gossip::Gossip;
-use crate::gateway::journal::Journal;
+use crate::gateway::journal::BufferedLog;
 use crate::gateway::relay::Relay;
 use crate::gateway::state::State;
-use crate::gateway::watch::Watch;
+use crate::gateway::watch::LogWatcher;
 use crate::gateway::{
     Claims, ConfigSource, Directory, Group, Metrics, Protocol, RunnerControl, Settings,
 };
@@ -59,7 +59,7 @@
     S: ConfigSource + Directory + Group + Claims,
     R: RunnerControl,
 {
-    let journal = Journal::start().change_context(Fault::Logging)?;
+    let journal = BufferedLog::start().change_context(Fault::Logging)?;
     let callers = bind(settings.caller_address).await?;
     let ready = bind(settings.ready_address).await?;
     let state = Rc::new(State::new(settings, metrics));
@@ -70,7 +70,7 @@
     let settings = &state.settings;
     info!(vm = %settings.vm, zone = %settings.availability_zone, callers = %settings.caller_address, "started");
 
-    let watch = Watch::new(state.clone(), store.clone());
+    let watch = LogWatcher::new(state.clone(), store.clone());
     compio::runtime::spawn(watch.clone().follow_configuration()).detach();
     compio::runtime::spawn(watch.follow_directory()).detach();
     compio::runtime::spawn(gossip.clone().receive()).detach();
@@ -89,7 +89,7 @@
     let stopped_at = Instant::now();
     info!("stopping");
     state.shutdown.leave();
-    state.peers.hurry();
+    state.peers.trigger_update_to_all();
     leading.leave().await;
     drain(&state, stopped_at).await;
     info!(open = state.shutdown.open(), "stopped");
@@ -105,7 +105,7 @@
             compio::time::sleep(CLEAN_INTERVAL).await;
             let fleet = &cleaned.state.fleet;
             let is_listed = |run: &Incarnation| fleet.run(run).is_some();
-            cleaned.links.clean(is_listed, Instant::now());
+            cleaned.pool.remove_stale(is_listed, Instant::now());
         }
     })
     .detach();
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -2,12 +2,12 @@
 
 use crate::callers::Ledger;
 use crate::gateway::call::Cost;
-use crate::gateway::crash_suspects::Suspects;
+use crate::gateway::crash_suspects::CrashSuspects;
 use crate::gateway::demand::Demand;
-use crate::gateway::directory_updates::{Assembly, DirectoryNews};
+use crate::gateway::directory_updates::{Assembly, DirectoryUpdate};
 use crate::gateway::fleet::{Fleet, Holding, Incarnation, Taken};
-use crate::gateway::log_follower::{Following, Readings, follows_closely};
-use crate::gateway::peers::{Peers, Urgency, WantedRate};
+use crate::gateway::log_follower::{FollowerState, Readings, follows_closely};
+use crate::gateway::peers::{DemandRate, Peers, UpdateScope};
 use crate::gateway::speeds::Speeds;
 use crate::gateway::{
     Changes, Configuration, Generation, Metrics, ServerChange, Settings, Weights,
@@ -38,9 +38,9 @@
     /// The other VMs.
     pub(crate) peers: Peers,
     /// What this VM read of the log.
-    pub(crate) following: Following,
+    pub(crate) following: FollowerState,
     /// Requests that were aboard when servers crashed.
-    pub(crate) suspects: Suspects,
+    pub(crate) suspects: CrashSuspects,
     /// The demand that this VM sees.
     pub(crate) demand: Demand,
     /// How fast runners work on each model.
@@ -88,8 +88,8 @@
             fleet: Fleet::default(),
             is_directory_known: Cell::new(false),
             peers: Peers::new(settings.peer_address, Instant::now()),
-            following: Following::default(),
-            suspects: Suspects::default(),
+            following: FollowerState::default(),
+            suspects: CrashSuspects::default(),
             demand: Demand::default(),
             speeds: Speeds::default(),
             ledger: RefCell::new(Ledger::new(settings.bounds.quota, Instant::now())),
@@ -172,7 +172,7 @@
     }
 
     /// Takes over changes of the directory that the VM that follows it passed on.
-    pub(super) fn take_directory_news(&self, news: DirectoryNews, now: Instant) {
+    pub(super) fn take_directory_news(&self, news: DirectoryUpdate, now: Instant) {
         let is_shaken = news.is_shaken;
         let end = self.following.directory_end.get();
         let changes = self.assembly.borrow_mut().take(news, end);
@@ -180,7 +180,7 @@
             return;
         };
         if is_shaken {
-            self.following.shaken_at.set(Some(now));
+            self.following.disrupted_at.set(Some(now));
         }
         debug!(
             from = end,
@@ -190,7 +190,7 @@
         );
         let next = changes.next;
         self.take_directory(changes, now);
-        self.following.note_told(next);
+        self.following.note_received_update(next);
         self.forget_lapsed(now);
     }
 
@@ -205,21 +205,21 @@
         let mut told = Vec::new();
         for change in changes.items {
             match change {
-                ServerChange::Here(entry) => {
+                ServerChange::Upserted(entry) => {
                     let taken = self.fleet.take(entry.clone());
                     if taken == Taken::News {
                         has_news = true;
                         info!(server = %entry.id, state = ?entry.state, "server listed");
                     }
                     if taken > Taken::Renewed {
-                        told.push(ServerChange::Here(entry));
+                        told.push(ServerChange::Upserted(entry));
                     }
                 }
-                ServerChange::Gone(id) => {
+                ServerChange::Removed(id) => {
                     has_news |= self.fleet.server(&id).is_some();
                     self.fleet.lapse(&id, now);
                     // Others may know it still, where this VM alone met another one at its address.
-                    told.push(ServerChange::Gone(id));
+                    told.push(ServerChange::Removed(id));
                 }
             }
         }
@@ -250,7 +250,7 @@
     pub(crate) fn is_ready(&self) -> bool {
         !self.shutdown.is_leaving()
             && self.is_directory_known.get()
-            && self.peers.are_sought(Instant::now())
+            && self.peers.is_discovery_done(Instant::now())
             && self.configuration.borrow().is_some()
     }
 
@@ -258,7 +258,7 @@
     pub(crate) fn wait_for(self: &Rc<Self>, weights: &Weights) -> WaitingGuard {
         let mut waiting = self.waiting.borrow_mut();
         *waiting.entry(weights.clone()).or_default() += 1;
-        self.peers.hurry_to(Urgency::Holder);
+        self.peers.trigger_update(UpdateScope::Leader);
         WaitingGuard {
             state: self.clone(),
             weights: weights.clone(),
@@ -266,8 +266,8 @@
     }
 
     /// The demand at this VM.
-    pub(crate) fn own_demand(&self, now: Instant) -> Vec<(Weights, WantedRate)> {
-        let mut demand: HashMap<Weights, WantedRate> = HashMap::new();
+    pub(crate) fn own_demand(&self, now: Instant) -> Vec<(Weights, DemandRate)> {
+        let mut demand: HashMap<Weights, DemandRate> = HashMap::new();
         for (weights, rate) in self.demand.rates(now) {
             demand.insert(weights, rate);
         }
@@ -278,8 +278,8 @@
     }
 
     /// The demand at all VMs.
-    pub(crate) fn demand(&self, now: Instant) -> HashMap<Weights, WantedRate> {
-        let mut demand: HashMap<Weights, WantedRate> = HashMap::new();
+    pub(crate) fn demand(&self, now: Instant) -> HashMap<Weights, DemandRate> {
+        let mut demand: HashMap<Weights, DemandRate> = HashMap::new();
         let all = self.own_demand(now).into_iter().chain(self.peers.demands());
         for (weights, rate) in all {
             let sum = demand.entry(weights).or_default();
--- a/src/gateway/streaming.rs
+++ b/src/gateway/streaming.rs
@@ -238,7 +238,7 @@
             age_ms = call.arrived.elapsed().as_millis() as u64,
             "stream complete"
         );
-        self.links.keep(feed.exchange);
+        self.pool.keep(feed.exchange);
     }
 
     /// Goes on with a broken stream at another server; `None` if that cannot be.
--- a/src/gateway/tests/brief.rs
+++ b/src/gateway/tests/brief.rs
@@ -79,7 +79,7 @@
                 is_near: true,
                 is_far_late: vms.count > 12,
                 is_connected: true,
-                is_brief: true,
+                is_short_call: true,
                 has_failed: false,
             });
             let candidates: Vec<Candidate> = candidates.collect();
--- a/src/gateway/tests/decisions.rs
+++ b/src/gateway/tests/decisions.rs
@@ -3,11 +3,11 @@
 use crate::gateway::backlog::Backlog;
 use crate::gateway::budget::{Allowance, RetryBudget};
 use crate::gateway::choose::{Candidate, choose};
-use crate::gateway::crash_suspects::Suspects;
+use crate::gateway::crash_suspects::CrashSuspects;
 use crate::gateway::demand::Demand;
 use crate::gateway::events::EventBuffer;
 use crate::gateway::fleet::{Fleet, Taken};
-use crate::gateway::load_limit::Ceiling;
+use crate::gateway::load_limit::LoadRateLimit;
 use crate::gateway::watch::retry_pause;
 use crate::gateway::{
     Configuration, Entry, Holding, Limits, Route, RouteKind, ServerState, Target, Weights,
@@ -23,7 +23,7 @@
         is_near: true,
         is_far_late: false,
         is_connected: true,
-        is_brief: false,
+        is_short_call: false,
         has_failed: false,
     }
 }
@@ -48,7 +48,7 @@
 fn among_servers_alike_one_with_an_open_connection_is_chosen() {
     let unconnected = Candidate {
         is_connected: false,
-        is_brief: false,
+        is_short_call: false,
         ..candidate(10)
     };
     assert_eq!(choose(&[unconnected, candidate(14)], || 0.5), Some(1));
@@ -133,12 +133,12 @@
 
 #[test]
 fn a_request_is_refused_after_the_crashes_that_all_vms_saw() {
-    let suspects = Suspects::default();
+    let suspects = CrashSuspects::default();
     let now = Instant::now();
-    assert_eq!(suspects.note_crash(7, now), 1);
+    assert_eq!(suspects.record_crash(7, now), 1);
     assert!(!suspects.is_poison(7, now));
     // A peer tells of one more.
-    suspects.note_crashes(7, 2, now);
+    suspects.merge_crashes(7, 2, now);
     assert!(suspects.is_poison(7, now));
     assert!(!suspects.is_poison(8, now));
     suspects.clear(7);
@@ -284,13 +284,13 @@
 }
 
 /// The most loads that begin in any window, if every holder begins all that it may.
-fn most_loads(takes_over: impl Fn(&Ceiling, Instant)) -> usize {
+fn most_loads(takes_over: impl Fn(&LoadRateLimit, Instant)) -> usize {
     let window = Duration::from_secs(5);
     let start = Instant::now();
     let mut begun = Vec::new();
     // The first holder gives way to another at the worst moment, and that one to a third.
     for holder in 0..3_u64 {
-        let ceiling = Ceiling::new(window);
+        let ceiling = LoadRateLimit::new(window);
         if holder > 0 {
             takes_over(&ceiling, start + Duration::from_millis(holder * 5_500));
         }
@@ -319,7 +319,7 @@
     // 1.6 a second over 5 s, a tenth more, and three.
     let allowed = 11;
     assert!(most_loads(|_, _| ()) > allowed, "without the allowance");
-    assert!(most_loads(Ceiling::take_over) <= allowed);
+    assert!(most_loads(LoadRateLimit::note_takeover) <= allowed);
 }
 
 #[test]
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -1,6 +1,6 @@
 //! Changes of the directory reach the zone whole, or not at all.
 
-use crate::gateway::directory_updates::{Assembly, DirectoryNews, news_of};
+use crate::gateway::directory_updates::{Assembly, DirectoryUpdate, news_of};
 use crate::gateway::fleet::{Entry, Holding, ServerState};
 use crate::gateway::peers::Peers;
 use crate::gateway::state::State;
@@ -15,7 +15,7 @@
 
 fn here(index: usize) -> ServerChange {
     let names = |count: usize| (0..count).map(|it| Name::from(format!("model-{it}")));
-    ServerChange::Here(Entry {
+    ServerChange::Upserted(Entry {
         id: format!("i-{index}").into(),
         started_ms: 1_000 + index as u64,
         sequence: 5,
@@ -37,16 +37,16 @@
 }
 
 fn changes(count: usize) -> Vec<ServerChange> {
-    let gone = ServerChange::Gone("i-gone".into());
+    let gone = ServerChange::Removed("i-gone".into());
     (0..count).map(here).chain([gone]).collect()
 }
 
-fn parts(count: usize, from: u64, next: u64) -> Vec<DirectoryNews> {
+fn parts(count: usize, from: u64, next: u64) -> Vec<DirectoryUpdate> {
     news_of(&changes(count), from, next, false).expect("they are few enough")
 }
 
 /// What is taken over of messages by a reader that has read up to `end`.
-fn taken(messages: Vec<DirectoryNews>, end: Option<u64>) -> Option<(usize, u64)> {
+fn taken(messages: Vec<DirectoryUpdate>, end: Option<u64>) -> Option<(usize, u64)> {
     let mut assembly = Assembly::default();
     let mut whole = None;
     for message in messages {
@@ -93,12 +93,12 @@
 fn a_prompt_that_has_been_read_is_not_told_any_more() {
     let now = Instant::now();
     let peers = Peers::new("10.1.0.1:7380".parse().expect("an address"), now);
-    peers.tell_prompt(&"i-1".into(), 18.0, now);
-    peers.tell_prompt(&"i-2".into(), 50.0, now);
-    let told = peers.take_untold_prompts(9, now + Duration::from_millis(30));
+    peers.report_prompt(&"i-1".into(), 18.0, now);
+    peers.report_prompt(&"i-2".into(), 50.0, now);
+    let told = peers.take_unsent_prompts(9, now + Duration::from_millis(30));
     let servers: Vec<&str> = told.iter().map(|it| it.server.as_str()).collect();
     assert_eq!(servers, ["i-2"]);
-    assert!(peers.take_untold_prompts(9, now).is_empty());
+    assert!(peers.take_unsent_prompts(9, now).is_empty());
 }
 
 fn read(state: &State, items: Vec<ServerChange>) -> usize {
@@ -111,11 +111,11 @@
     let state = state();
     assert_eq!(read(&state, vec![here(1)]), 1);
     assert_eq!(read(&state, vec![here(1)]), 0);
-    let ServerChange::Here(mut entry) = here(1) else {
+    let ServerChange::Upserted(mut entry) = here(1) else {
         panic!("it is an entry");
     };
     entry.holdings.clear();
-    assert_eq!(read(&state, vec![ServerChange::Here(entry)]), 1);
+    assert_eq!(read(&state, vec![ServerChange::Upserted(entry)]), 1);
 }
 
 #[test]
@@ -125,5 +125,5 @@
     // Another server answered at its address.
     state.fleet.lapse("i-1", Instant::now());
     state.forget_lapsed(Instant::now());
-    assert_eq!(read(&state, vec![ServerChange::Gone("i-1".into())]), 1);
+    assert_eq!(read(&state, vec![ServerChange::Removed("i-1".into())]), 1);
 }
--- a/src/gateway/tests/gossip_sender.rs
+++ b/src/gateway/tests/gossip_sender.rs
@@ -1,7 +1,7 @@
 //! What the VM that gives orders tells of runners.
 
 use crate::gateway::fleet::{Entry, Fleet, Holding, ServerState};
-use crate::gateway::gossip_sender::Told;
+use crate::gateway::gossip_sender::AdvertisedHoldings;
 use std::time::{Duration, Instant};
 
 const TURN: Duration = Duration::from_millis(200);
@@ -15,7 +15,7 @@
 }
 
 /// How often it is told in ten seconds that nothing changes in.
-fn tellings(mut told: Told, is_listed: bool, now: Instant) -> usize {
+fn tellings(mut told: AdvertisedHoldings, is_listed: bool, now: Instant) -> usize {
     let turns = (0..50).map(|turn| now + TURN * turn);
     turns.filter(|now| told.take_due(is_listed, *now)).count()
 }
@@ -23,7 +23,7 @@
 #[test]
 fn what_the_directory_lists_is_told_at_its_change_only() {
     let now = Instant::now();
-    let told = || Told::new(&[holding("m", &[])], now);
+    let told = || AdvertisedHoldings::new(&[holding("m", &[])], now);
     assert_eq!(tellings(told(), true, now), 3, "a message may be lost");
     // Whoever missed it or came since does not learn it from the directory.
     assert!(tellings(told(), false, now) >= 6);
@@ -32,7 +32,7 @@
 #[test]
 fn a_change_is_told_though_the_directory_lists_it_already() {
     let now = Instant::now();
-    let mut told = Told::new(&[holding("m", &[])], now);
+    let mut told = AdvertisedHoldings::new(&[holding("m", &[])], now);
     let later = now + Duration::from_secs(5);
     assert!(!told.take_due(true, later));
     told.note(&[holding("m", &["a"])], later);
--- a/src/gateway/tests/loads.rs
+++ b/src/gateway/tests/loads.rs
@@ -6,7 +6,7 @@
 use crate::gateway::peers::Peers;
 use crate::gateway::tests::{address, index};
 use crate::gateway::view::Sighting;
-use crate::gateway::zone_loads::ZoneTelling;
+use crate::gateway::zone_loads::ZoneLoadSampler;
 use crate::inventory::Name;
 use crate::short_id::short_id;
 use prost::Message;
@@ -22,7 +22,7 @@
     address: SocketAddr,
     zone: Name,
     peers: Peers,
-    telling: ZoneTelling,
+    telling: ZoneLoadSampler,
     /// Counts its turns from a place of its own.
     turn: usize,
     /// Its requests on each server.
@@ -65,7 +65,7 @@
                 address,
                 zone: format!("z{}", index % ZONES).into(),
                 peers: Peers::new(address, now),
-                telling: ZoneTelling::default(),
+                telling: ZoneLoadSampler::default(),
                 turn: index * 7_919,
                 own: own.collect(),
             }
@@ -87,7 +87,7 @@
             ..Digest::default()
         };
         for vm in &fleet.vms {
-            vm.peers.take_sightings(&all, now);
+            vm.peers.merge_sightings(&all, now);
         }
         fleet
     }
@@ -112,7 +112,7 @@
                 ..Digest::default()
             };
             let mut far = near.clone();
-            if targets.far_turns() > 1 {
+            if targets.remote_rounds() > 1 {
                 let sums = vm.zone_loads(&targets, self.now);
                 self.sum_bytes += sums.encoded_len();
                 far.loads.clear();
@@ -120,8 +120,8 @@
             }
             vm.turn += 1;
             let vm = &self.vms[index];
-            self.deliver(&near, vm.address, &targets.near_part(vm.turn));
-            for (_, part) in targets.far_part(vm.turn) {
+            self.deliver(&near, vm.address, &targets.local_part(vm.turn));
+            for (_, part) in targets.remote_part(vm.turn) {
                 self.deliver(&far, vm.address, &part);
             }
         }
@@ -156,14 +156,14 @@
 
 impl Vm {
     fn zone_loads(&mut self, targets: &Targets, now: Instant) -> ToldZoneLoads {
-        let of_others = self.peers.in_flight_of(&self.zone);
+        let of_others = self.peers.zone_in_flight(&self.zone);
         let own = self.own.iter().enumerate();
         let sums = own.map(|(index, own)| {
             let server = server(index);
             let others = of_others.get(&server).copied().unwrap_or(0);
             (short_id(&server), own + others)
         });
-        let told_every = INTERVAL * targets.far_turns() as u32;
+        let told_every = INTERVAL * targets.remote_rounds() as u32;
         let vms = targets.near.len();
         let part = self
             .telling
@@ -216,7 +216,7 @@
 #[test]
 fn a_server_without_load_is_told_of_only_after_it_had_some() {
     let now = Instant::now();
-    let mut telling = ZoneTelling::default();
+    let mut telling = ZoneLoadSampler::default();
     let mut part = |in_flight, now| telling.part(vec![(1, in_flight)], 0, INTERVAL, 9, now);
     assert_eq!(part(0, now), []);
     assert_eq!(part(2, now), [(1, 2)]);
@@ -240,7 +240,7 @@
     let peers = Peers::new(address(1), now);
     let prompts = [SentPrompt {
         server: server(0).to_string(),
-        read_us: 10_000,
+        prefill_us: 10_000,
     }];
     peers.take_prompts(address(2), &prompts);
     assert_eq!(peers.in_flight(&server(0)), 0, "its sender is not known");
@@ -252,7 +252,7 @@
     peers.take(address(2), &digest, now);
     peers.take_prompts(address(2), &prompts);
     assert_eq!(peers.in_flight(&server(0)), 4);
-    assert_eq!(peers.in_flight_of(&"z1".into())[&server(0)], 4);
+    assert_eq!(peers.zone_in_flight(&"z1".into())[&server(0)], 4);
     peers.take(address(2), &digest, now);
     assert_eq!(
         peers.in_flight(&server(0)),
--- a/src/gateway/tests/log_follower.rs
+++ b/src/gateway/tests/log_follower.rs
@@ -58,9 +58,9 @@
             let vms = targets.far.entry(format!("z{}", index % 4).into());
             vms.or_default().push(vm(index as u8));
         }
-        let turns = targets.far_turns();
+        let turns = targets.remote_rounds();
         let told: Vec<usize> = (0..turns)
-            .map(|turn| targets.far_part(turn).map(|(_, vms)| vms.len()).sum())
+            .map(|turn| targets.remote_part(turn).map(|(_, vms)| vms.len()).sum())
             .collect();
         let total: usize = told.iter().sum();
         // Each VM is told once in the turns that it takes to tell all.
@@ -68,5 +68,5 @@
         let per_s = total as f64 / (INTERVAL * turns as u32).as_secs_f64();
         assert!(per_s <= most_per_s + 0.1, "{far} VMs: {per_s}");
     }
-    assert_eq!(Targets::default().far_turns(), 1);
+    assert_eq!(Targets::default().remote_rounds(), 1);
 }
--- a/src/gateway/tests/members.rs
+++ b/src/gateway/tests/members.rs
@@ -1,9 +1,9 @@
 //! Which VMs are members of the log's group, at any size of the fleet.
 
 use crate::gateway::gossip_message::{Digest, zones_of};
-use crate::gateway::peers::{MEMBERS, Peers};
+use crate::gateway::peers::{GROUP_MEMBERS, Peers};
 use crate::gateway::tests::address;
-use crate::gateway::view::{SEEN_LIMIT, Sighting};
+use crate::gateway::view::{LIVENESS_TIMEOUT, Sighting};
 use std::time::{Duration, Instant};
 
 const ZONES: usize = 3;
@@ -33,14 +33,14 @@
         ..Digest::default()
     };
     for peers in fleet {
-        peers.take_sightings(&told, now);
+        peers.merge_sightings(&told, now);
         peers.forget_silent(now);
     }
 }
 
 fn members(fleet: &[Peers], now: Instant) -> Vec<usize> {
     let all = fleet.iter().enumerate();
-    let wanted = all.filter(|(_, peers)| peers.is_member_wanted(now));
+    let wanted = all.filter(|(_, peers)| peers.should_join_group(now));
     wanted.map(|(index, _)| index).collect()
 }
 
@@ -50,7 +50,7 @@
     for count in [9, 24, 76, 195, 410] {
         let fleet = fleet(count, now, now + LATER);
         let members = members(&fleet, now + LATER);
-        assert_eq!(members.len(), count.min(MEMBERS), "{count} VMs");
+        assert_eq!(members.len(), count.min(GROUP_MEMBERS), "{count} VMs");
         for zone in 0..ZONES {
             let of_zone = members.iter().filter(|index| *index % ZONES == zone);
             assert!(of_zone.count() >= 3, "{count} VMs, zone {zone}");
@@ -73,13 +73,13 @@
     let is_alive = |index: usize| !index.is_multiple_of(ZONES);
     // A zone falls silent; the others go on hearing each other.
     let mut later = now + LATER;
-    while later < now + LATER + SEEN_LIMIT + TURN {
+    while later < now + LATER + LIVENESS_TIMEOUT + TURN {
         hear(&fleet, (0..76).filter(|index| is_alive(*index)), later);
         later += TURN;
     }
     let after = members(&fleet, later);
     let living = after.iter().filter(|index| is_alive(**index)).count();
-    assert_eq!(living, MEMBERS);
+    assert_eq!(living, GROUP_MEMBERS);
     let kept = before.iter().filter(|index| is_alive(**index));
     assert!(kept.clone().all(|index| after.contains(index)));
     assert!(kept.count() >= 12, "as many as the log deals partitions to");
--- a/src/gateway/tests/order_dispatch.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -186,7 +186,7 @@
 fn leader(control: &Control) -> (Rc<State>, Rc<OrderDispatcher<Control>>) {
     let state = Rc::new(state());
     state.take_configuration(configuration());
-    apply_change(&state, ServerChange::Here(entry()));
+    apply_change(&state, ServerChange::Upserted(entry()));
     let dispatcher = OrderDispatcher::new(state.clone(), control.clone());
     dispatcher.start(1);
     control
@@ -236,12 +236,12 @@
     let _waiting = state.wait_for(&wanted);
     tick(&dispatcher, 10).await;
     assert_eq!(control.0.borrow().orders, 1, "the unload is in flight");
-    apply_change(&state, ServerChange::Gone(SERVER.into()));
+    apply_change(&state, ServerChange::Removed(SERVER.into()));
     state.forget_lapsed(Instant::now());
     assert!(state.fleet.server(SERVER).is_none());
     tick(&dispatcher, 2).await;
     tick(&dispatcher, 5).await;
-    apply_change(&state, ServerChange::Here(entry()));
+    apply_change(&state, ServerChange::Upserted(entry()));
     tick(&dispatcher, 80).await;
     let runner = control.0.borrow();
     assert_eq!(runner.conflicts, 0, "{runner:?}");
--- a/src/gateway/tests/planning.rs
+++ b/src/gateway/tests/planning.rs
@@ -1,6 +1,6 @@
 //! Plans always fit the memory and adapter slots of a runner, and follow the demand.
 
-use crate::gateway::peers::WantedRate;
+use crate::gateway::peers::DemandRate;
 use crate::gateway::planning::{PlacementPlanner, RunnerPlan, RunnerView};
 use crate::gateway::{Engine, Model, Weights};
 use crate::inventory::Name;
@@ -58,8 +58,8 @@
     }
 }
 
-fn rate(busy_ms_per_s: f64) -> WantedRate {
-    WantedRate {
+fn rate(busy_ms_per_s: f64) -> DemandRate {
+    DemandRate {
         busy_ms_per_s,
         requests_per_s: busy_ms_per_s / MS_PER_REQUEST,
         waiting: 0,
@@ -69,7 +69,7 @@
 fn plan(
     engine: &Engine,
     runners: &[RunnerView],
-    demand: &HashMap<Weights, WantedRate>,
+    demand: &HashMap<Weights, DemandRate>,
 ) -> HashMap<Name, RunnerPlan> {
     let planner = PlacementPlanner {
         engine,
@@ -121,10 +121,10 @@
     let mut full = runner("r1", &["m0"]);
     full.adapters = (1..=5).map(|number| adapter("m0", number)).collect();
     // A request waits for an adapter with little demand; another with high demand is missing too.
-    let mut demand: HashMap<Weights, WantedRate> = (2..=5)
+    let mut demand: HashMap<Weights, DemandRate> = (2..=5)
         .map(|number| (adapter("m0", number), rate(3_000.0)))
         .collect();
-    let waiting = WantedRate {
+    let waiting = DemandRate {
         waiting: 1,
         ..rate(10.0)
     };
@@ -139,7 +139,7 @@
 fn a_model_that_requests_wait_for_and_no_runner_holds_is_loaded() {
     let engine = engine(0);
     let runners = [runner("r1", &["m0", "m1"]), runner("r2", &["m0", "m1"])];
-    let waiting = WantedRate {
+    let waiting = DemandRate {
         waiting: 1,
         ..rate(100.0)
     };
@@ -226,14 +226,14 @@
                 view
             })
             .collect();
-        let demand: HashMap<Weights, WantedRate> = rates
+        let demand: HashMap<Weights, DemandRate> = rates
             .iter()
             .map(|(model_number, number, busy_ms_per_s, waiting)| {
                 let weights = match number {
                     0 => model(&name(*model_number)),
                     number => adapter(&name(*model_number), *number),
                 };
-                (weights, WantedRate { waiting: *waiting, ..rate(*busy_ms_per_s) })
+                (weights, DemandRate { waiting: *waiting, ..rate(*busy_ms_per_s) })
             })
             .collect();
         let plan = plan(&engine, &runners, &demand);
--- a/src/gateway/tests/quota_ways.rs
+++ b/src/gateway/tests/quota_ways.rs
@@ -113,9 +113,9 @@
         let of_zone = ledger.zone_tally(now);
         ledger.forget(now);
         let targets = &self.targets[vm];
-        let near = targets.near_part(turn).into_iter();
+        let near = targets.local_part(turn).into_iter();
         let near = near.map(|to| (to, (own.clone(), true)));
-        let far = targets.far_part(turn).flat_map(|(_, vms)| vms);
+        let far = targets.remote_part(turn).flat_map(|(_, vms)| vms);
         let far = far.map(|to| (to, (of_zone.clone(), false)));
         let messages = near.chain(far);
         let bytes = |tally: &Tally| 6 + 25 * tally.usages.len();
@@ -135,7 +135,7 @@
         now: Instant,
     ) -> Option<Self::Message> {
         if is_near {
-            let next_in = Duration::from_millis(200) * self.targets[from].near_turns() as u32;
+            let next_in = Duration::from_millis(200) * self.targets[from].local_rounds() as u32;
             self.ledgers[vm].take_near(address(from), tally, next_in, now);
         } else {
             self.ledgers[vm].take_far(&zone_name(from), tally, now);
--- a/src/gateway/tests/spreading.rs
+++ b/src/gateway/tests/spreading.rs
@@ -81,7 +81,7 @@
                     is_near: runner % 3 == vm % 3,
                     is_far_late: false,
                     is_connected: true,
-                    is_brief: false,
+                    is_short_call: false,
                     has_failed: false,
                 }
             })
--- a/src/gateway/tests/views.rs
+++ b/src/gateway/tests/views.rs
@@ -5,7 +5,7 @@
 use crate::gateway::gossip_message::{Digest, zones_of};
 use crate::gateway::peers::Peers;
 use crate::gateway::tests::{address, index};
-use crate::gateway::view::{SEEN_LIMIT, Sighting, View};
+use crate::gateway::view::{LIVENESS_TIMEOUT, Sighting, View};
 use crate::inventory::Name;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -92,11 +92,11 @@
             return;
         }
         let sender = self.vms[from].address;
-        self.vms[to].peers.take_sightings(digest, self.now);
+        self.vms[to].peers.merge_sightings(digest, self.now);
         if !digest.is_partial {
             self.vms[to].peers.take(sender, digest, self.now);
         }
-        if digest.asks_vms {
+        if digest.requests_view {
             let all = Digest {
                 is_partial: true,
                 vms: zones_of(&self.vms[to].peers.sightings(), self.now),
@@ -114,7 +114,7 @@
                 continue;
             }
             let targets = vm.peers.targets(&vm.zone);
-            let far_interval = INTERVAL * targets.far_turns() as u32;
+            let far_interval = INTERVAL * targets.remote_rounds() as u32;
             let digest = Digest {
                 boot: vm.boot,
                 availability_zone: vm.zone.to_string(),
@@ -122,22 +122,22 @@
                 ..Digest::default()
             };
             let mut near = digest.clone();
-            near.vms = zones_of(&vm.peers.sample(targets.vms_a_message()), self.now);
-            let asked = vm.peers.take_ask(self.now);
-            let lost = vm.peers.lost_one();
+            near.vms = zones_of(&vm.peers.sample(targets.vms_per_message()), self.now);
+            let asked = vm.peers.take_view_request(self.now);
+            let lost = vm.peers.random_lost_vm();
             self.vms[from].turn += 1;
             let turn = self.vms[from].turn;
-            for (_, far) in targets.far_part(turn) {
+            for (_, far) in targets.remote_part(turn) {
                 for to in far {
                     self.deliver(from, to, &digest);
                 }
             }
-            for to in targets.near_part(turn).into_iter().chain(lost) {
+            for to in targets.local_part(turn).into_iter().chain(lost) {
                 self.deliver(from, to, &near);
             }
             if let Some(asked) = asked {
                 let ask = Digest {
-                    asks_vms: true,
+                    requests_view: true,
                     ..digest.clone()
                 };
                 self.deliver(from, asked, &ask);
@@ -275,15 +275,15 @@
 fn another_process_at_an_address_is_another_vm() {
     let now = Instant::now();
     let mut view = View::new(address(0), now);
-    assert!(view.note(sighting(1, now), now));
-    view.note_left(address(1), 1, now);
+    assert!(view.record_sighting(sighting(1, now), now));
+    view.record_departure(address(1), 1, now);
     assert_eq!(view.vms(), 1);
     let later = now + INTERVAL;
     // Others have yet to hear of its end.
-    assert!(!view.note(sighting(1, later), later));
-    assert!(view.note(sighting(2, later), later));
+    assert!(!view.record_sighting(sighting(1, later), later));
+    assert!(view.record_sighting(sighting(2, later), later));
     // What is told of the earlier process does not replace the present one.
-    assert!(!view.note(sighting(1, now), later));
+    assert!(!view.record_sighting(sighting(1, now), later));
     assert_eq!(view.get(&address(1)).map(|it| it.boot), Some(2));
 }
 
@@ -291,11 +291,11 @@
 fn a_vm_that_stood_still_itself_loses_nobody() {
     let now = Instant::now();
     let mut view = View::new(address(0), now);
-    view.note(sighting(1, now), now);
-    assert_eq!(view.forget_silent(now + SEEN_LIMIT * 2), []);
+    view.record_sighting(sighting(1, now), now);
+    assert_eq!(view.forget_silent(now + LIVENESS_TIMEOUT * 2), []);
     assert_eq!(view.vms(), 2);
-    let mut at = now + SEEN_LIMIT * 2;
-    for _ in 0..=(SEEN_LIMIT.as_millis() / INTERVAL.as_millis()) {
+    let mut at = now + LIVENESS_TIMEOUT * 2;
+    for _ in 0..=(LIVENESS_TIMEOUT.as_millis() / INTERVAL.as_millis()) {
         at += INTERVAL;
         view.forget_silent(at);
     }
@@ -321,7 +321,7 @@
             budget.note_request(&service, fleet.now);
             requests += 1.0;
             for _ in 0..2 {
-                let vms = vm.peers.most_vms(fleet.now);
+                let vms = vm.peers.peak_vms(fleet.now);
                 retries += f64::from(u8::from(budget.take(&service, vms, fleet.now)));
             }
         }
--- a/src/gateway/tests/waiting.rs
+++ b/src/gateway/tests/waiting.rs
@@ -2,14 +2,14 @@
 
 use crate::gateway::Weights;
 use crate::gateway::choose::Candidate;
-use crate::gateway::hold_time::Patience;
-use crate::gateway::wait_queue::Turns;
+use crate::gateway::hold_time::RequestTiming;
+use crate::gateway::wait_queue::WaitQueues;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-fn patience(target_ms: u64, max_pause_ms: u64, left_ms: u64) -> Patience {
+fn patience(target_ms: u64, max_pause_ms: u64, left_ms: u64) -> RequestTiming {
     let arrived = Instant::now();
-    Patience {
+    RequestTiming {
         arrived,
         target: Duration::from_millis(target_ms),
         max_pause: Duration::from_millis(max_pause_ms),
@@ -17,8 +17,8 @@
     }
 }
 
-fn held_ms(patience: Patience) -> u128 {
-    (patience.limit() - patience.arrived).as_millis()
+fn held_ms(patience: RequestTiming) -> u128 {
+    (patience.hold_limit() - patience.arrived).as_millis()
 }
 
 #[test]
@@ -34,26 +34,26 @@
 #[test]
 fn a_prompt_must_be_sent_in_time_to_be_read_by_its_target() {
     let patience = patience(1_000, 300, 15_000);
-    let due = patience.due(Duration::from_millis(200));
-    assert_eq!((due - patience.arrived).as_millis(), 740);
-    let long = patience.due(Duration::from_secs(5));
+    let send_by = patience.send_by(Duration::from_millis(200));
+    assert_eq!((send_by - patience.arrived).as_millis(), 740);
+    let long = patience.send_by(Duration::from_secs(5));
     assert_eq!(long, patience.arrived);
 }
 
 #[test]
 fn the_most_urgent_that_can_still_be_in_time_goes_first() {
-    let turns = Rc::new(Turns::default());
+    let turns = Rc::new(WaitQueues::default());
     let weights = Weights {
         model: "m".into(),
         adapter: None,
     };
     let now = Instant::now();
     let at = |ms: u64| now + Duration::from_millis(ms);
-    let relaxed = turns.enter(&weights, at(9_000));
-    let urgent = turns.enter(&weights, at(500));
+    let relaxed = turns.enqueue(&weights, at(9_000));
+    let urgent = turns.enqueue(&weights, at(500));
     assert!(urgent.is_next(now) && !relaxed.is_next(now));
-    assert!(turns.is_first(&weights, at(100), now));
-    assert!(!turns.is_first(&weights, at(700), now));
+    assert!(turns.would_be_first(&weights, at(100), now));
+    assert!(!turns.would_be_first(&weights, at(700), now));
     // Once it is late, it stands behind what can still be in time.
     assert!(relaxed.is_next(at(600)) && !urgent.is_next(at(600)));
     assert_eq!(turns.count(&weights), 2);
@@ -63,7 +63,7 @@
         model: "other".into(),
         adapter: None,
     };
-    assert!(turns.is_first(&other, at(900), now));
+    assert!(turns.would_be_first(&other, at(900), now));
 }
 
 /// Prompts of 70 ms that come at three quarters of what a runner reads, in bursts of `burst`;
@@ -86,10 +86,10 @@
                 is_near: true,
                 is_far_late: false,
                 is_connected: true,
-                is_brief: false,
+                is_short_call: false,
                 has_failed: false,
             };
-            if is_held && candidate.is_reading(READ_MS, MAX_PAUSE_MS) {
+            if is_held && candidate.defers_prompt(READ_MS, MAX_PAUSE_MS) {
                 break;
             }
             waiting -= 1;
--- a/src/gateway/tests/zones.rs
+++ b/src/gateway/tests/zones.rs
@@ -82,7 +82,7 @@
                         is_near: runner % ZONES == zone,
                         is_far_late,
                         is_connected: true,
-                        is_brief: false,
+                        is_short_call: false,
                         has_failed: false,
                     }
                 })
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -3,7 +3,7 @@
 //! The log lists only a few members of the group: no more than a topic has partitions. So VMs tell
 //! each other which VMs they know and how long ago each was heard by anyone. Such ages only grow
 //! while a VM is silent, whoever tells of it, so that one that is gone leaves all views within
-//! [`SEEN_LIMIT`] and is told of no more; and it need not be heard by all to stay in them.
+//! [`LIVENESS_TIMEOUT`] and is told of no more; and it need not be heard by all to stay in them.
 
 use crate::inventory::Name;
 use rand::rngs::SmallRng;
@@ -16,7 +16,7 @@
 
 /// After so long without a sign of life a VM counts as gone. A VM speaks to its zone five times a
 /// second and what it tells spreads within one; shorter, lost messages would end living VMs.
-pub(crate) const SEEN_LIMIT: Duration = Duration::from_millis(4_000);
+pub(crate) const LIVENESS_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// For how long a VM that was lost is spoken to now and then, so that the halves of a fleet find
 /// each other after a partition without the log.
 const PROBE_FOR: Duration = Duration::from_secs(60);
@@ -80,9 +80,9 @@
     }
 
     /// Takes a sign of life, heard or told; tells whether the VM is new.
-    pub(crate) fn note(&mut self, sighting: Sighting, now: Instant) -> bool {
+    pub(crate) fn record_sighting(&mut self, sighting: Sighting, now: Instant) -> bool {
         let address = sighting.address;
-        let is_old = now.saturating_duration_since(sighting.seen_at) >= SEEN_LIMIT;
+        let is_old = now.saturating_duration_since(sighting.seen_at) >= LIVENESS_TIMEOUT;
         if is_old || self.left.contains_key(&(address, sighting.boot)) {
             return false;
         }
@@ -104,7 +104,7 @@
     }
 
     /// Notes that a VM's process told of its end.
-    pub(crate) fn note_left(&mut self, address: SocketAddr, boot: u64, now: Instant) {
+    pub(crate) fn record_departure(&mut self, address: SocketAddr, boot: u64, now: Instant) {
         self.left.insert((address, boot), now);
         if self.known.get(&address).is_some_and(|it| it.boot == boot) {
             self.known.remove(&address);
@@ -120,7 +120,7 @@
                 known.seen_at = (known.seen_at + gap).min(now);
             }
         }
-        let is_gone = |it: &Sighting| now.saturating_duration_since(it.seen_at) >= SEEN_LIMIT;
+        let is_gone = |it: &Sighting| now.saturating_duration_since(it.seen_at) >= LIVENESS_TIMEOUT;
         let gone: Vec<Sighting> = self
             .known
             .extract_if(.., |_, it| is_gone(it))
@@ -173,7 +173,7 @@
     }
 
     /// How many VMs there were at most at any time, this one included.
-    pub(crate) fn most_vms(&self) -> usize {
+    pub(crate) fn peak_vms(&self) -> usize {
         self.most_seen + 1
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Whether another VM is to be asked for its whole view now, which is then taken for done.
-    pub(crate) fn take_ask(&mut self, now: Instant) -> bool {
+    pub(crate) fn take_view_request(&mut self, now: Instant) -> bool {
         let since = |at| now.saturating_duration_since(at);
         let is_growing = since(self.grew_at) < GROWTH_TIME;
         let is_due = is_growing || self.asked_at.is_none_or(|at| since(at) >= ASK_INTERVAL);
@@ -194,7 +194,7 @@
     }
 
     /// One of the VMs that were lost, by `draw` from 0 to 1.
-    pub(crate) fn lost_one(&self, draw: f64) -> Option<SocketAddr> {
+    pub(crate) fn random_lost_vm(&self, draw: f64) -> Option<SocketAddr> {
         pick(self.lost.keys(), self.lost.len(), draw)
     }
 
--- a/src/gateway/wait_queue.rs
+++ b/src/gateway/wait_queue.rs
@@ -11,15 +11,15 @@
 
 /// The requests that wait, by what they wait for.
 #[derive(Debug, Default)]
-pub(crate) struct Turns {
+pub(crate) struct WaitQueues {
     waiting: RefCell<HashMap<Weights, Vec<Place>>>,
     next: Cell<u64>,
 }
 
 /// One request's place among those that wait for the same weights; left when dropped.
 #[derive(Debug)]
-pub(crate) struct Turn {
-    turns: Rc<Turns>,
+pub(crate) struct QueuedRequest {
+    turns: Rc<WaitQueues>,
     weights: Weights,
     place: Place,
 }
@@ -27,25 +27,25 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Place {
     /// When it must be sent to be answered in time.
-    due: Instant,
+    send_by: Instant,
     /// Grows with each arrival.
     number: u64,
 }
 
 impl Place {
     fn rank(self, now: Instant) -> (bool, Instant, u64) {
-        (self.due < now, self.due, self.number)
+        (self.send_by < now, self.send_by, self.number)
     }
 }
 
-impl Turns {
+impl WaitQueues {
     /// Begins to wait.
-    pub(crate) fn enter(self: &Rc<Self>, weights: &Weights, due: Instant) -> Turn {
-        let place = self.newcomer(due);
+    pub(crate) fn enqueue(self: &Rc<Self>, weights: &Weights, send_by: Instant) -> QueuedRequest {
+        let place = self.newcomer(send_by);
         self.next.set(place.number + 1);
         let mut waiting = self.waiting.borrow_mut();
         waiting.entry(weights.clone()).or_default().push(place);
-        Turn {
+        QueuedRequest {
             turns: self.clone(),
             weights: weights.clone(),
             place,
@@ -53,8 +53,8 @@
     }
 
     /// Whether a request that does not wait yet would stand before all that do.
-    pub(crate) fn is_first(&self, weights: &Weights, due: Instant, now: Instant) -> bool {
-        self.is_before_all(weights, self.newcomer(due), now)
+    pub(crate) fn would_be_first(&self, weights: &Weights, send_by: Instant, now: Instant) -> bool {
+        self.is_before_all(weights, self.newcomer(send_by), now)
     }
 
     /// How many wait.
@@ -62,9 +62,9 @@
         self.waiting.borrow().get(weights).map_or(0, Vec::len)
     }
 
-    fn newcomer(&self, due: Instant) -> Place {
+    fn newcomer(&self, send_by: Instant) -> Place {
         Place {
-            due,
+            send_by,
             number: self.next.get(),
         }
     }
@@ -78,14 +78,14 @@
     }
 }
 
-impl Turn {
+impl QueuedRequest {
     /// Whether no other one stands before it.
     pub(crate) fn is_next(&self, now: Instant) -> bool {
         self.turns.is_before_all(&self.weights, self.place, now)
     }
 }
 
-impl Drop for Turn {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let mut waiting = self.turns.waiting.borrow_mut();
         if let Some(places) = waiting.get_mut(&self.weights) {
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::directory_updates::news_of;
 use crate::gateway::log_follower::{Reading, Readings};
-use crate::gateway::peers::Urgency;
+use crate::gateway::peers::UpdateScope;
 use crate::gateway::state::State;
 use crate::gateway::{Changes, ConfigSource, Directory, ServerChange, StoreError};
 use crate::inventory::Name;
@@ -45,12 +45,12 @@
 const OTHERS_PAUSE: Duration = Duration::from_millis(4_000);
 
 /// Keeps the state in step with what the log holds.
-pub(crate) struct Watch<S> {
+pub(crate) struct LogWatcher<S> {
     state: Rc<State>,
     store: Rc<S>,
 }
 
-impl<S: ConfigSource + Directory> Watch<S> {
+impl<S: ConfigSource + Directory> LogWatcher<S> {
     /// A watch over a store.
     pub(crate) fn new(state: Rc<State>, store: Rc<S>) -> Rc<Self> {
         Rc::new(Self { state, store })
@@ -85,7 +85,7 @@
                     }
                     let is_change = before.is_some_and(|before| before.news < reading.news);
                     if is_change && self.state.follows_closely(reading.at) {
-                        self.state.peers.hurry_to(Urgency::Zone);
+                        self.state.peers.trigger_update(UpdateScope::Zone);
                     }
                     let is_news = |told: Readings| told.configuration.news > reading.news;
                     self.await_turn(read_at, CONFIGURATION_INTERVAL, is_news)
@@ -128,11 +128,11 @@
                 }
                 Err(StoreError::Compacted) => {
                     following.directory_end.set(None);
-                    following.shaken_at.set(Some(Instant::now()));
+                    following.disrupted_at.set(Some(Instant::now()));
                     self.await_new_reading("directory", failures).await;
                 }
                 Err(error) => {
-                    following.shaken_at.set(Some(Instant::now()));
+                    following.disrupted_at.set(Some(Instant::now()));
                     self.note_failure("directory", error, failures);
                     failures += 1;
                     self.await_retry(failures).await;
@@ -218,7 +218,9 @@
             is_told = news.is_some(),
             "directory changed"
         );
-        self.state.peers.tell_news(news.unwrap_or_default());
+        self.state
+            .peers
+            .queue_directory_updates(news.unwrap_or_default());
     }
 
     /// Servers that a whole reading did not bring.
@@ -226,13 +228,13 @@
         let ids: HashSet<&Name> = here
             .iter()
             .filter_map(|change| match change {
-                ServerChange::Here(entry) => Some(&entry.id),
-                ServerChange::Gone(_) => None,
+                ServerChange::Upserted(entry) => Some(&entry.id),
+                ServerChange::Removed(_) => None,
             })
             .collect();
         let servers = self.state.fleet.servers().into_iter();
         let gone = servers.filter(|server| !ids.contains(&server.id) && !server.is_lapsed());
-        gone.map(|server| ServerChange::Gone(server.id.clone()))
+        gone.map(|server| ServerChange::Removed(server.id.clone()))
             .collect()
     }
 
--- a/src/gateway/zone_loads.rs
+++ b/src/gateway/zone_loads.rs
@@ -32,12 +32,12 @@
 
 /// What a VM tells other zones of its own zone's load.
 #[derive(Debug, Default)]
-pub(super) struct ZoneTelling {
+pub(super) struct ZoneLoadSampler {
     /// When the zone last had requests on a server, by the server's short name.
     loaded_at: HashMap<u32, Instant>,
 }
 
-impl ZoneTelling {
+impl ZoneLoadSampler {
     /// The part of the sums for one message, of those on servers where the zone has requests or had
     /// some a moment ago.
     ///
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -15,21 +15,21 @@
     let changes = records.items.into_iter().filter_map(|record| {
         let id = Name::from(std::str::from_utf8(&record.key).ok()?);
         if record.value.is_empty() {
-            return Some(ServerChange::Gone(id));
+            return Some(ServerChange::Removed(id));
         }
         match entries::decode(id.clone(), &record.value) {
-            Ok(entry) => Some(ServerChange::Here(entry)),
+            Ok(entry) => Some(ServerChange::Upserted(entry)),
             // Whoever wrote it, it names no server to use; one that lives writes anew.
             Err(error) => {
                 tracing::warn!(server = %id, %error, "server's entry unreadable");
-                Some(ServerChange::Gone(id))
+                Some(ServerChange::Removed(id))
             }
         }
     });
     let mut items: Vec<ServerChange> = changes.collect();
     let started = |change: &ServerChange| match change {
-        ServerChange::Here(entry) => entry.started_ms != UNTOLD_START,
-        ServerChange::Gone(_) => false,
+        ServerChange::Upserted(entry) => entry.started_ms != UNTOLD_START,
+        ServerChange::Removed(_) => false,
     };
     tells_start.set(tells_start.get() || items.iter().any(started));
     if tells_start.get() {
@@ -44,9 +44,9 @@
 /// The change, if it is one of a server that tells its start.
 fn with_start(change: ServerChange) -> ServerChange {
     match change {
-        ServerChange::Here(entry) if entry.started_ms == UNTOLD_START => {
+        ServerChange::Upserted(entry) if entry.started_ms == UNTOLD_START => {
             tracing::warn!(server = %entry.id, "server's entry without its start");
-            ServerChange::Gone(entry.id)
+            ServerChange::Removed(entry.id)
         }
         change => change,
     }
--- a/src/platform/requests.rs
+++ b/src/platform/requests.rs
@@ -1,7 +1,7 @@
 //! Requests and answers as the platform words them.
 
 use crate::callers::ApiKey;
-use crate::gateway::{Ask, Generation, Malformed, Protocol, Refusal, Reply, SendOptions};
+use crate::gateway::{CallerRequest, Generation, Malformed, Protocol, Refusal, Reply, SendOptions};
 use crate::http::Body;
 use crate::inventory::Name;
 use bytes::Bytes;
@@ -141,7 +141,7 @@
 }
 
 impl Protocol for PlatformProtocol {
-    fn read_ask(head: &request::Parts) -> Result<Ask, Malformed> {
+    fn read_caller_request(head: &request::Parts) -> Result<CallerRequest, Malformed> {
         let id = text(&head.headers, &REQUEST_ID).ok_or(Malformed("no request id"))?;
         let host = head
             .uri
@@ -156,7 +156,7 @@
         for name in &OWN {
             headers.remove(name);
         }
-        Ok(Ask {
+        Ok(CallerRequest {
             id: id.into(),
             method: head.method.clone(),
             host: host.to_ascii_lowercase().into(),
@@ -171,7 +171,7 @@
         })
     }
 
-    fn to_server(ask: &Ask, options: &SendOptions<'_>) -> Request<Body> {
+    fn to_server(ask: &CallerRequest, options: &SendOptions<'_>) -> Request<Body> {
         let body = if ask.body.is_empty() {
             Body::empty()
         } else {
@@ -194,8 +194,8 @@
         if let Some(last_event) = options.last_event {
             headers.insert(LAST_EVENT, last_event.into());
         }
-        if let Some(weights) = options.weights {
-            headers.insert(EXPECT_WEIGHTS, weights.into());
+        if let Some(weights_version) = options.weights_version {
+            headers.insert(EXPECT_WEIGHTS, weights_version.into());
         }
         request
     }
@@ -204,10 +204,10 @@
         let headers = &head.headers;
         Reply {
             request_id: text(headers, &REQUEST_ID).map(Name::from),
-            is_not_run: headers.contains_key(&NOT_RUN),
+            is_not_executed: headers.contains_key(&NOT_RUN),
             server: text(headers, &SERVER).map(Name::from),
             is_signed: headers.contains_key(&SIGNATURE),
-            weights: number(headers, &WEIGHTS),
+            weights_version: number(headers, &WEIGHTS),
             keep_alive: keep_alive_of(headers),
         }
     }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -423,13 +423,13 @@
         let mut names: Vec<Name> = owners.map(Name::from).collect();
         names.sort();
         names.dedup();
-        let is_all = names.len() < partitions;
-        Ok(Members { names, is_all })
+        let is_complete = names.len() < partitions;
+        Ok(Members { names, is_complete })
     }
 }
 
 impl Claims for PlatformStore {
-    async fn has_successor(&self, fence: u64) -> Result<bool, StoreError> {
+    async fn has_later_claim(&self, fence: u64) -> Result<bool, StoreError> {
         // A claim's fence is the offset of the next one.
         let path = format!("/-/log-read?topic={CLAIMS_TOPIC}&part=0&from={fence}&wait_ms=0");
         let answer = self.get(&path, Duration::ZERO).await;
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -96,7 +96,7 @@
         .body(())
         .expect("the parts are valid")
         .into_parts();
-    let ask = PlatformProtocol::read_ask(&head).expect("it is well formed");
+    let ask = PlatformProtocol::read_caller_request(&head).expect("it is well formed");
     assert_eq!(ask.host, "h.example");
     assert_eq!(ask.patience, Some(Duration::from_millis(1_500)));
     assert_eq!(ask.last_event, Some(12));
@@ -113,7 +113,7 @@
         time_left: Duration::from_millis(700),
         priority: 2,
         last_event: Some(20),
-        weights: Some(4),
+        weights_version: Some(4),
     };
     let sent = PlatformProtocol::to_server(&ask, &options);
     let header = |name: &str| sent.headers().get(name).map(|value| value.to_str().ok());
@@ -135,7 +135,7 @@
         .body(())
         .expect("the parts are valid")
         .into_parts();
-    assert!(PlatformProtocol::read_ask(&head).is_err());
+    assert!(PlatformProtocol::read_caller_request(&head).is_err());
 }
 
 fn entry() -> Value {
@@ -249,7 +249,7 @@
     let read = |entries: &[Value], tells: &Cell<bool>| {
         let items = entries.iter().map(record).collect();
         let changes = server_changes(Changes { items, next: 1 }, tells).items;
-        let is_here = |change: &ServerChange| matches!(change, ServerChange::Here(_));
+        let is_here = |change: &ServerChange| matches!(change, ServerChange::Upserted(_));
         changes.iter().map(is_here).collect::<Vec<bool>>()
     };
     let tells = Cell::new(false);
