--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -1,199 +1,209 @@
-//! How demand spreads over the copies of models, and what a change of the copies is worth.
+//! Estimates how demand spreads over the copies of models, and the value of changing the copies.
 //!
-//! Requests go to the least loaded runner that holds their model, so each model's demand levels
-//! its copies' runners as far as it reaches. What all models on one runner ask of it together
-//! decides how many of its requests are answered late or not at all.
+//! Requests go to the least loaded runner that holds their model, so the demand for a model evens
+//! out the load of these runners as far as it suffices. The total load of a runner determines how
+//! many of its requests are answered late or not at all.
 
-/// The load of a runner, as a part of its time, up to which its streams are in time: beyond it
-/// prompts meet each other, and streams pause while they are read.
-const EASY_LOAD: f64 = 0.45;
-/// The load from which hardly any of its streams is in time.
-const LATE_LOAD: f64 = 1.0;
-/// What a late answer loses against none at all: a caller that gets it late is served, one that
-/// is refused twice is not. With 0.7 and the shorter holds and returns of then, callers of a
-/// deployment whose loads take 9 s got 0.35 of what full service is worth, with these 0.43 (ten
-/// plays each of days with trouble or high load).
-const LATE_LOSS: f64 = 0.4;
-/// What a load below the easy one costs: little, so that equal choices level the runners.
-const UNEVEN_LOSS: f64 = 0.05;
+/// Load of a runner, as a share of its time, up to which its streams are on time. Above it,
+/// prompts arrive while others are being processed, and streams pause during each prefill.
+const MAX_ON_TIME_LOAD: f64 = 0.45;
+/// Load of a runner from which on hardly any of its streams is on time.
+const ALL_LATE_LOAD: f64 = 1.0;
+/// Cost of a late answer relative to no answer: a caller that is answered late is still served,
+/// one that is refused twice is not. Where loads take 9 s, callers got 0.43 of the value of full
+/// service with this cost, against 0.35 with 0.7 and shorter hold and return times.
+const LATE_ANSWER_COST: f64 = 0.4;
+/// Small cost of load that causes no late answers, so that otherwise equal choices even out the
+/// load of the runners.
+const IMBALANCE_COST: f64 = 0.05;
 
-/// What is asked of one model.
+/// Demand for one model.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ModelDemand {
-    /// What it takes of runners' time: 1 keeps one runner busy.
-    pub(crate) runners: f64,
-    /// Requests a second.
+    /// Runner time that the requests take: 1 keeps one runner busy.
+    pub(crate) busy_runners: f64,
+    /// Requests per second.
     pub(crate) requests_per_s: f64,
-    /// Requests a second that are taken to be lost beside those while nobody holds it.
-    pub(crate) reach_per_s: f64,
+    /// Additional requests per second that are assumed lost while no runner holds the model.
+    pub(crate) missing_cost_per_s: f64,
 }
 
-/// Demand over the copies of models; models and runners are known by their places.
+/// Demand spread over the copies of models; models and runners are identified by their indices.
 #[derive(Clone, Debug)]
-pub(crate) struct Spread {
-    models: Vec<SpreadModel>,
-    runners: Vec<Load>,
+pub(crate) struct DemandSpread {
+    models: Vec<ModelCopies>,
+    runners: Vec<RunnerLoad>,
 }
 
+/// Demand for a model and its copies.
 #[derive(Clone, Debug, Default)]
-struct SpreadModel {
+struct ModelCopies {
     demand: ModelDemand,
-    /// The runners that hold it, with the part of its demand that goes there.
+    /// Runners that hold the model, each with the fraction of the demand that it serves.
     copies: Vec<(usize, f64)>,
 }
 
-/// What one runner is asked.
+/// Load of one runner: the share of its time that is used, above 1 if overloaded, and requests
+/// per second.
 #[derive(Clone, Copy, Debug, Default)]
-struct Load {
-    runners: f64,
+struct RunnerLoad {
+    utilisation: f64,
     requests_per_s: f64,
 }
 
-impl Load {
-    /// Requests a second that are lost, late ones in part.
+impl RunnerLoad {
+    /// Returns the requests per second that are lost; late ones count in part.
     fn cost(self) -> f64 {
-        let late = (self.runners - EASY_LOAD) / (LATE_LOAD - EASY_LOAD);
-        let late = late.clamp(0.0, 1.0) * LATE_LOSS;
-        // What a runner has no time for is not answered.
-        let refused = (1.0 - 1.0 / self.runners.max(1.0)).max(0.0);
+        let late = (self.utilisation - MAX_ON_TIME_LOAD) / (ALL_LATE_LOAD - MAX_ON_TIME_LOAD);
+        let late = late.clamp(0.0, 1.0) * LATE_ANSWER_COST;
+        // Requests beyond the capacity of a runner are not answered.
+        let refused = (1.0 - 1.0 / self.utilisation.max(1.0)).max(0.0);
         let lost = late + (1.0 - late) * refused;
-        let uneven = UNEVEN_LOSS * self.runners.min(1.0);
-        self.requests_per_s * (uneven + (1.0 - UNEVEN_LOSS) * lost)
+        let imbalance = IMBALANCE_COST * self.utilisation.min(1.0);
+        self.requests_per_s * (imbalance + (1.0 - IMBALANCE_COST) * lost)
     }
 }
 
-/// What a change of one runner's models is worth, in requests a second.
+/// Value of a swap on one runner, in requests per second.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Worth {
-    /// What the new copy gains once it is there.
+pub(crate) struct SwapValue {
+    /// Gain from the new copy once it is loaded.
     pub(crate) gain: f64,
-    /// What those that make room lose at once.
+    /// Immediate loss from the unloaded copies.
     pub(crate) loss: f64,
 }
 
-impl Spread {
-    /// Spreads the demand for models over the runners that hold them.
-    pub(crate) fn new(demands: Vec<ModelDemand>, holders: &[Vec<usize>], runners: usize) -> Self {
-        let models = demands.into_iter().zip(holders);
-        let models = models.map(|(demand, holders)| SpreadModel {
+impl DemandSpread {
+    /// Spreads the demand for models over the runners that hold them; `copy_runners` lists these
+    /// by model.
+    pub(crate) fn new(
+        demands: Vec<ModelDemand>,
+        copy_runners: &[Vec<usize>],
+        runners: usize,
+    ) -> Self {
+        let models = demands.into_iter().zip(copy_runners);
+        let models = models.map(|(demand, copy_runners)| ModelCopies {
             demand,
-            copies: holders.iter().map(|runner| (*runner, 0.0)).collect(),
+            copies: copy_runners.iter().map(|runner| (*runner, 0.0)).collect(),
         });
         let mut spread = Self {
             models: models.collect(),
-            runners: vec![Load::default(); runners],
+            runners: vec![RunnerLoad::default(); runners],
         };
-        spread.level();
+        spread.balance();
         spread
     }
 
-    /// Places all demand anew, models with the fewest copies first, then once more over what
-    /// the others take.
-    fn level(&mut self) {
+    /// Assigns all demand, models with the fewest copies first, then reassigns each model's demand
+    /// around the load of the others.
+    fn balance(&mut self) {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by_key(|model| self.models[*model].copies.len());
         for model in &order {
-            self.place(*model);
+            self.assign_demand(*model);
         }
         for model in order {
-            self.lift(model);
-            self.place(model);
+            self.remove_demand(model);
+            self.assign_demand(model);
         }
     }
 
-    /// How many runners hold a model.
-    pub(crate) fn copies(&self, model: usize) -> usize {
+    /// Returns the number of runners that hold a model.
+    pub(crate) fn copy_count(&self, model: usize) -> usize {
         self.models[model].copies.len()
     }
 
-    /// What a model takes of runners' time.
+    /// Returns the runner time that a model's demand takes, in runners.
     pub(crate) fn demand(&self, model: usize) -> f64 {
-        self.models[model].demand.runners
+        self.models[model].demand.busy_runners
     }
 
-    /// The load of a runner, as a part of its time.
+    /// Returns the load of a runner as a share of its time.
     pub(crate) fn load(&self, runner: usize) -> f64 {
-        self.runners[runner].runners
+        self.runners[runner].utilisation
     }
 
-    /// Requests a second for a model that are lost now.
-    pub(crate) fn lost(&self, model: usize) -> f64 {
-        let known = &self.models[model];
-        if known.copies.is_empty() {
-            return known.demand.requests_per_s + known.demand.reach_per_s;
+    /// Returns the requests per second for a model that are currently lost.
+    pub(crate) fn lost_per_s(&self, model: usize) -> f64 {
+        let entry = &self.models[model];
+        if entry.copies.is_empty() {
+            return entry.demand.requests_per_s + entry.demand.missing_cost_per_s;
         }
-        let lost = known.copies.iter().map(|(runner, part)| {
+        let lost = entry.copies.iter().map(|(runner, fraction)| {
             let load = self.runners[*runner];
             let share = load.cost() / load.requests_per_s.max(f64::MIN_POSITIVE);
-            share * part * known.demand.requests_per_s
+            share * fraction * entry.demand.requests_per_s
         });
         lost.sum()
     }
 
-    /// What it is worth to drop models on a runner and to load one there.
-    pub(crate) fn worth(&mut self, runner: usize, load: usize, drop: &[usize]) -> Worth {
-        let before = self.clone_touched(load, drop);
-        let touched = self.touched(runner, load, drop);
-        let cost_before = self.cost(&touched, load, drop);
-        for model in drop {
-            self.drop_copy(*model, runner);
+    /// Returns the value of unloading models from a runner and loading another there.
+    pub(crate) fn swap_value(&mut self, runner: usize, load: usize, unload: &[usize]) -> SwapValue {
+        let before = self.save_affected(load, unload);
+        let affected = self.affected_runners(runner, load, unload);
+        let cost_before = self.cost(&affected, load, unload);
+        for model in unload {
+            self.remove_copy(*model, runner);
         }
-        let cost_without = self.cost(&touched, load, drop);
+        let cost_without = self.cost(&affected, load, unload);
         self.add_copy(load, runner);
-        let cost_after = self.cost(&touched, load, drop);
+        let cost_after = self.cost(&affected, load, unload);
         self.restore(before);
-        Worth {
+        SwapValue {
             gain: cost_without - cost_after,
             loss: cost_without - cost_before,
         }
     }
 
-    /// Carries out such a change.
-    pub(crate) fn change(&mut self, runner: usize, load: usize, drop: &[usize]) {
-        for model in drop {
-            self.drop_copy(*model, runner);
+    /// Applies a swap to the spread.
+    pub(crate) fn apply_swap(&mut self, runner: usize, load: usize, unload: &[usize]) {
+        for model in unload {
+            self.remove_copy(*model, runner);
         }
         self.add_copy(load, runner);
     }
 
     fn add_copy(&mut self, model: usize, runner: usize) {
-        self.lift(model);
+        self.remove_demand(model);
         self.models[model].copies.push((runner, 0.0));
-        self.place(model);
+        self.assign_demand(model);
     }
 
-    fn drop_copy(&mut self, model: usize, runner: usize) {
-        self.lift(model);
+    fn remove_copy(&mut self, model: usize, runner: usize) {
+        self.remove_demand(model);
         self.models[model]
             .copies
-            .retain(|(holder, _)| *holder != runner);
-        self.place(model);
+            .retain(|(copy_runner, _)| *copy_runner != runner);
+        self.assign_demand(model);
     }
 
-    /// The cost of some runners, and of models that nobody holds.
-    fn cost(&self, runners: &[usize], load: usize, drop: &[usize]) -> f64 {
+    /// Returns the cost of some runners, and of the models in a swap that no runner holds.
+    fn cost(&self, runners: &[usize], load: usize, unload: &[usize]) -> f64 {
         let of_runners = runners.iter().map(|runner| self.runners[*runner].cost());
-        let models = drop.iter().chain([&load]).map(|model| &self.models[*model]);
+        let models = unload
+            .iter()
+            .chain([&load])
+            .map(|model| &self.models[*model]);
         let of_missing = models
             .filter(|model| model.copies.is_empty())
-            .map(|model| model.demand.requests_per_s + model.demand.reach_per_s);
+            .map(|model| model.demand.requests_per_s + model.demand.missing_cost_per_s);
         of_runners.sum::<f64>() + of_missing.sum::<f64>()
     }
 
-    /// The runners that a change bears on.
-    fn touched(&self, runner: usize, load: usize, drop: &[usize]) -> Vec<usize> {
-        let models = drop.iter().chain([&load]);
+    /// Returns the runners whose load a swap changes.
+    fn affected_runners(&self, runner: usize, load: usize, unload: &[usize]) -> Vec<usize> {
+        let models = unload.iter().chain([&load]);
         let copies = models.flat_map(|model| &self.models[*model].copies);
-        let mut touched: Vec<usize> = copies.map(|(holder, _)| *holder).collect();
-        touched.push(runner);
-        touched.sort_unstable();
-        touched.dedup();
-        touched
+        let mut affected: Vec<usize> = copies.map(|(copy_runner, _)| *copy_runner).collect();
+        affected.push(runner);
+        affected.sort_unstable();
+        affected.dedup();
+        affected
     }
 
-    fn clone_touched(&self, load: usize, drop: &[usize]) -> Saved {
-        let models = drop.iter().chain([&load]);
-        Saved {
+    fn save_affected(&self, load: usize, unload: &[usize]) -> SavedState {
+        let models = unload.iter().chain([&load]);
+        SavedState {
             models: models
                 .map(|model| (*model, self.models[*model].copies.clone()))
                 .collect(),
@@ -201,60 +211,63 @@
         }
     }
 
-    fn restore(&mut self, saved: Saved) {
+    fn restore(&mut self, saved: SavedState) {
         for (model, copies) in saved.models {
             self.models[model].copies = copies;
         }
         self.runners = saved.runners;
     }
 
-    /// Takes a model's demand off its runners.
-    fn lift(&mut self, model: usize) {
-        let SpreadModel { demand, copies } = &mut self.models[model];
-        for (runner, part) in copies {
+    /// Removes a model's demand from its runners.
+    fn remove_demand(&mut self, model: usize) {
+        let ModelCopies { demand, copies } = &mut self.models[model];
+        for (runner, fraction) in copies {
             let load = &mut self.runners[*runner];
-            load.runners = (load.runners - *part * demand.runners).max(0.0);
-            load.requests_per_s = (load.requests_per_s - *part * demand.requests_per_s).max(0.0);
-            *part = 0.0;
+            load.utilisation = (load.utilisation - *fraction * demand.busy_runners).max(0.0);
+            load.requests_per_s =
+                (load.requests_per_s - *fraction * demand.requests_per_s).max(0.0);
+            *fraction = 0.0;
         }
     }
 
-    /// Puts a model's demand onto its runners so that it levels them as far as it reaches.
-    fn place(&mut self, model: usize) {
-        let SpreadModel { demand, copies } = &mut self.models[model];
+    /// Assigns a model's demand to its runners, the least loaded first, so that their loads become
+    /// equal as far as it suffices.
+    fn assign_demand(&mut self, model: usize) {
+        let ModelCopies { demand, copies } = &mut self.models[model];
         if copies.is_empty() {
             return;
         }
         copies.sort_by(|left, right| {
-            let load = |copy: &(usize, f64)| self.runners[copy.0].runners;
+            let load = |copy: &(usize, f64)| self.runners[copy.0].utilisation;
             load(left).total_cmp(&load(right))
         });
-        let level = level_of(
-            copies.iter().map(|copy| self.runners[copy.0].runners),
-            demand.runners,
+        let level = water_fill_level(
+            copies.iter().map(|copy| self.runners[copy.0].utilisation),
+            demand.busy_runners,
         );
         let equal = 1.0 / copies.len() as f64;
-        for (runner, part) in copies {
+        for (runner, fraction) in copies {
             let load = &mut self.runners[*runner];
-            *part = if demand.runners > 0.0 {
-                (level - load.runners).max(0.0) / demand.runners
+            *fraction = if demand.busy_runners > 0.0 {
+                (level - load.utilisation).max(0.0) / demand.busy_runners
             } else {
                 equal
             };
-            load.runners += *part * demand.runners;
-            load.requests_per_s += *part * demand.requests_per_s;
+            load.utilisation += *fraction * demand.busy_runners;
+            load.requests_per_s += *fraction * demand.requests_per_s;
         }
     }
 }
 
-/// What a change bears on, as it was.
-struct Saved {
+/// State before a swap, to restore after it has been evaluated.
+struct SavedState {
     models: Vec<(usize, Vec<(usize, f64)>)>,
-    runners: Vec<Load>,
+    runners: Vec<RunnerLoad>,
 }
 
-/// The level that loads, lowest first, reach when `demand` is poured onto them.
-fn level_of(loads: impl Iterator<Item = f64>, demand: f64) -> f64 {
+/// Returns the level to which `demand` raises the lowest loads (water filling). The loads must be
+/// in ascending order.
+fn water_fill_level(loads: impl Iterator<Item = f64>, demand: f64) -> f64 {
     let mut sum = demand;
     let mut level = 0.0;
     for (count, load) in loads.enumerate() {
