--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -103,7 +103,10 @@
 
 fn read(state: &State, items: Vec<ServerChange>) -> usize {
     let changes = Changes { items, next: 0 };
-    state.take_directory(changes, Instant::now()).0.len()
+    state
+        .apply_directory_changes(changes, Instant::now())
+        .0
+        .len()
 }
 
 #[test]
@@ -123,7 +126,7 @@
     let state = state();
     read(&state, vec![here(1)]);
     // Another server answered at its address.
-    state.fleet.lapse("i-1", Instant::now());
-    state.forget_lapsed(Instant::now());
+    state.fleet.mark_removed("i-1", Instant::now());
+    state.purge_removed(Instant::now());
     assert_eq!(read(&state, vec![ServerChange::Removed("i-1".into())]), 1);
 }
