--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! One VM's process in the serving role, from start to end.
+//! Starts, runs and shuts down the serving role on one VM.
 
 use crate::error::Fault;
 use crate::gateway::election::Leading;
@@ -23,30 +23,32 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// Where metrics are served, beside readiness.
+/// The path of the metrics, served at the same addresses as readiness.
 const METRICS_PATH: &str = "/metrics";
-/// The format of metrics.
+/// The content type of the metrics.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// SIGTERM and SIGINT begin a graceful end.
+/// SIGTERM and SIGINT start a graceful shutdown.
 const STOP_SIGNALS: [i32; 2] = [15, 2];
-/// SIGHUP tells that the settings file has changed.
+/// SIGHUP announces that the settings file has changed.
 const RELOAD_SIGNAL: i32 = 1;
-/// How long new connections may still arrive after readiness failed: it is asked for once
-/// a second, and two failures take a VM out. Requests taken later may not end in time.
-const ROTATION: Duration = Duration::from_millis(2_400);
-/// The part of the grace that waits for open requests; the rest is for ending.
+/// How long new connections may arrive after readiness starts to fail: readiness is checked once
+/// a second, and a VM receives no more connections after two failures. Requests accepted later may
+/// not finish in time.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_400);
+/// Share of the grace period spent on waiting for open requests; the rest is left for the process
+/// to exit.
 const DRAIN_SHARE: f64 = 0.94;
-/// How much longer than the operator's limit a caller's connection may be idle, so that a
-/// request on its way meets no closing.
+/// How much longer than the configured idle timeout a caller's connection is kept open, so that it
+/// isn't closed while a request is on its way.
 const IDLE_SLACK: Duration = Duration::from_millis(2_000);
-/// The time between two clean-ups of idle connections.
-const CLEAN_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The interval at which stale idle connections to servers are dropped.
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Serves until a signal asks to stop, then drains.
+/// Serves callers until a stop signal arrives, then drains open requests.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound or the log cannot be started.
+/// Fails if an address cannot be bound or logging cannot be started.
 pub(crate) async fn serve<P, S, R>(
     settings: Settings,
     metrics: Rc<Metrics>,
@@ -61,7 +63,7 @@
 {
     let journal = Journal::start().change_context(Fault::Logging)?;
     let callers = bind(settings.caller_address).await?;
-    let ready = bind(settings.ready_address).await?;
+    let readiness = bind(settings.ready_address).await?;
     let state = Rc::new(State::new(settings, metrics));
     let gossip = Gossip::bind(state.clone())
         .await
@@ -76,21 +78,21 @@
     compio::runtime::spawn(gossip.clone().receive()).detach();
     compio::runtime::spawn(gossip.clone().send_prompts()).detach();
     compio::runtime::spawn(gossip.send()).detach();
-    let leading = Leading::new(state.clone(), store, runners);
-    compio::runtime::spawn(leading.clone().keep_membership()).detach();
-    compio::runtime::spawn(leading.clone().lead()).detach();
+    let election = Leading::new(state.clone(), store, runners);
+    compio::runtime::spawn(election.clone().keep_membership()).detach();
+    compio::runtime::spawn(election.clone().lead()).detach();
     if let Some(address) = settings.metrics_address {
         let listener = bind(address).await?;
-        compio::runtime::spawn(serve_ready(listener, state.clone(), ready_path)).detach();
+        compio::runtime::spawn(serve_readiness(listener, state.clone(), ready_path)).detach();
     }
-    compio::runtime::spawn(serve_ready(ready, state.clone(), ready_path)).detach();
+    compio::runtime::spawn(serve_readiness(readiness, state.clone(), ready_path)).detach();
     serve_callers::<P>(callers, state.clone());
     stop_signal().await;
     let stopped_at = Instant::now();
     info!("stopping");
     state.shutdown.leave();
     state.peers.trigger_update_to_all();
-    leading.leave().await;
+    election.leave().await;
     drain(&state, stopped_at).await;
     info!(open = state.shutdown.open(), "stopped");
     journal.flush();
@@ -99,19 +101,19 @@
 
 fn serve_callers<P: Protocol>(listener: TcpListener, state: Rc<State>) {
     let relay = Rc::new(Relay::<P>::new(state.clone()));
-    let cleaned = relay.clone();
+    let cleanup_relay = relay.clone();
     compio::runtime::spawn(async move {
         loop {
-            compio::time::sleep(CLEAN_INTERVAL).await;
-            let fleet = &cleaned.state.fleet;
+            compio::time::sleep(CLEANUP_INTERVAL).await;
+            let fleet = &cleanup_relay.state.fleet;
             let is_listed = |run: &Incarnation| fleet.run(run).is_some();
-            cleaned.pool.remove_stale(is_listed, Instant::now());
+            cleanup_relay.pool.remove_stale(is_listed, Instant::now());
         }
     })
     .detach();
-    let limits = state.clone();
+    let timeout_state = state.clone();
     let head_timeout = move || {
-        let configuration = limits.configuration();
+        let configuration = timeout_state.configuration();
         let limits = configuration.map(|it| it.limits).unwrap_or_default();
         Duration::from_millis(limits.idle_timeout_ms) + IDLE_SLACK
     };
@@ -125,19 +127,22 @@
     .detach();
 }
 
-fn metrics_answer(state: &State) -> Response<Body> {
+fn metrics_response(state: &State) -> Response<Body> {
     let mut response = Response::new(Body::full(state.metrics_text()));
-    let kind = header::HeaderValue::from_static(METRICS_TYPE);
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = header::HeaderValue::from_static(METRICS_TYPE);
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     response
 }
 
-async fn serve_ready(listener: TcpListener, state: Rc<State>, path: &'static str) {
+/// Serves readiness at `path` and the metrics.
+async fn serve_readiness(listener: TcpListener, state: Rc<State>, path: &'static str) {
     let shutdown = Rc::default();
-    let answer = move |request: Request<Incoming>| {
+    let handler = move |request: Request<Incoming>| {
         let status = match request.uri().path() {
-            METRICS_PATH => return std::future::ready(metrics_answer(&state)),
-            asked if asked != path => StatusCode::NOT_FOUND,
+            METRICS_PATH => return std::future::ready(metrics_response(&state)),
+            requested if requested != path => StatusCode::NOT_FOUND,
             _ if state.is_ready() => StatusCode::OK,
             _ => StatusCode::SERVICE_UNAVAILABLE,
         };
@@ -145,7 +150,7 @@
         *response.status_mut() = status;
         std::future::ready(response)
     };
-    http::serve(listener, shutdown, answer).await;
+    http::serve(listener, shutdown, handler).await;
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, Report<Fault>> {
@@ -155,7 +160,8 @@
         .attach_with(|| address.to_string())
 }
 
-/// Waits for a signal to stop; a reload needs nothing, since what may change is read anew.
+/// Waits for a stop signal. SIGHUP is only logged, since values that may change at run time are
+/// read again anyway.
 async fn stop_signal() {
     compio::runtime::spawn(async {
         while compio::signal::unix::signal(RELOAD_SIGNAL).await.is_ok() {
@@ -165,7 +171,7 @@
     .detach();
     let [terminate, interrupt] = STOP_SIGNALS.map(|signal| {
         Box::pin(async move {
-            // Without a handler the signal ends the process by itself.
+            // If no handler can be installed, the signal terminates the process by default.
             let _ = compio::signal::unix::signal(signal).await;
         })
     });
@@ -174,13 +180,13 @@
     }
 }
 
-/// Serves new connections while they can still arrive, then waits for open requests.
+/// Accepts connections until no more can be expected, then waits for open requests to finish.
 async fn drain(state: &State, stopped_at: Instant) {
     let limit = state.settings.bounds.grace.mul_f64(DRAIN_SHARE);
-    let rotation = ROTATION.min(limit / 2);
-    compio::time::sleep_until(stopped_at + rotation).await;
+    let delay = DEREGISTRATION_DELAY.min(limit / 2);
+    compio::time::sleep_until(stopped_at + delay).await;
     state.shutdown.close();
-    let left = limit.saturating_sub(stopped_at.elapsed());
-    let drained = pin!(state.shutdown.drained(left));
+    let remaining = limit.saturating_sub(stopped_at.elapsed());
+    let drained = pin!(state.shutdown.drained(remaining));
     drained.await;
 }
