--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What one VM believes: configuration, backend servers, peers.
+//! The state that all tasks of one VM share: configuration, backend servers and peers.
 
 use crate::callers::Ledger;
 use crate::gateway::call::Cost;
@@ -20,47 +20,49 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info};
 
-/// How long an entry that lapsed in a shaken directory has to come back.
-const LAPSE_LIMIT: Duration = Duration::from_millis(2_000);
+/// How long a server is kept after its directory entry was removed while the log was recently
+/// unavailable, so that the entry can come back.
+const REMOVAL_GRACE: Duration = Duration::from_millis(2_000);
 
-/// The beliefs that all parts of the process share.
+/// The state that all tasks of the process share.
 #[derive(Debug)]
 pub(crate) struct State {
-    /// What is counted and measured.
+    /// The metrics of this VM.
     pub(crate) metrics: Rc<Metrics>,
     /// The settings that the process was started with.
     pub(crate) settings: Settings,
     configuration: RefCell<Option<Rc<Configuration>>>,
     /// The backend servers.
     pub(crate) fleet: Fleet,
-    /// Whether the directory was read since the start.
+    /// Whether the directory has been received since the process started.
     pub(crate) is_directory_known: Cell<bool>,
-    /// The other VMs.
+    /// The other VMs, as known from gossip messages.
     pub(crate) peers: Peers,
-    /// What this VM read of the log.
+    /// How far this VM has read the log.
     pub(crate) following: Following,
-    /// Requests that were aboard when servers crashed.
+    /// Requests that were in flight when servers crashed.
     pub(crate) suspects: CrashSuspects,
-    /// The demand that this VM sees.
+    /// The demand for weights by the requests that this VM receives.
     pub(crate) demand: Demand,
-    /// How fast runners work on each model.
+    /// Estimates of how fast runners process each model.
     pub(crate) speeds: Speeds,
-    /// What organisations were granted, here and at other VMs.
+    /// The quota usage of organisations, at this VM and at others.
     pub(crate) ledger: RefCell<Ledger>,
+    /// The number of requests that wait for weights to be loaded.
     waiting: RefCell<HashMap<Weights, u32>>,
-    /// What runners hold, while this VM leads; told to all others.
+    /// What each runner holds, while this VM is the leader; advertised to all other VMs.
     pub(crate) leader_view: RefCell<Vec<(Incarnation, Vec<Holding>)>>,
-    /// The fence under which this VM gives orders; 0 if it gives none.
+    /// The fencing token that this VM sends with orders; 0 if this VM is not the leader.
     pub(crate) fence: Cell<u64>,
-    /// Changes of the directory as far as their parts have come.
+    /// Reassembles directory updates of other VMs, which may arrive in several parts.
     assembly: RefCell<Assembly>,
-    /// Notified when a server or what it holds has changed.
+    /// Notified when a server or its holdings have changed.
     pub(crate) changed: Signal,
-    /// Whether the process is about to end.
+    /// The state of the graceful shutdown.
     pub(crate) shutdown: Rc<Shutdown>,
 }
 
-/// Counts a request as waiting for weights until dropped.
+/// Keeps a request counted as waiting for weights until dropped.
 #[derive(Debug)]
 pub(crate) struct WaitingGuard {
     state: Rc<State>,
@@ -80,7 +82,7 @@
 }
 
 impl State {
-    /// A state that knows nothing yet.
+    /// Creates the state of a process that has received neither configuration nor directory.
     pub(crate) fn new(settings: Settings, metrics: Rc<Metrics>) -> Self {
         Self {
             metrics,
@@ -103,16 +105,16 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` until the first one is received.
     pub(crate) fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Puts a configuration in force unless it is older than the present one.
+    /// Puts a configuration in force, unless its version is not newer than the current one.
     pub(crate) fn apply_configuration(&self, configuration: Configuration) {
-        let mut present = self.configuration.borrow_mut();
-        let before = present.as_ref().map_or(0, |present| present.version);
-        if present.is_some() && configuration.version <= before {
+        let mut current = self.configuration.borrow_mut();
+        let before = current.as_ref().map_or(0, |current| current.version);
+        if current.is_some() && configuration.version <= before {
             return;
         }
         info!(
@@ -121,14 +123,15 @@
             routes = configuration.route_count(),
             "configuration in force"
         );
-        *present = Some(Rc::new(configuration));
+        *current = Some(Rc::new(configuration));
     }
 
-    /// What a generation costs a runner; nothing where the configuration lacks its model.
+    /// Estimates the cost of a generation to a runner; zero if the configuration doesn't contain
+    /// its model.
     pub(crate) fn cost(&self, generation: &Generation) -> Cost {
         let configuration = self.configuration.borrow();
-        let known = configuration.as_ref();
-        let Some((engine, model)) = known.and_then(|known| known.model(&generation.model)) else {
+        let current = configuration.as_ref();
+        let Some((engine, model)) = current.and_then(|it| it.model(&generation.model)) else {
             return Cost::default();
         };
         let read_ms = self.speeds.read_ms(model, generation.prompt_tokens);
@@ -140,7 +143,7 @@
         }
     }
 
-    /// All metrics as text, gauges as of now.
+    /// Encodes all metrics as text, with gauges updated to their current values.
     pub(crate) fn metrics_text(&self) -> String {
         let metrics = &self.metrics;
         let version = self.configuration().map_or(0, |it| it.version);
@@ -151,42 +154,44 @@
         metrics.to_text()
     }
 
-    /// Whether this VM is to follow the log closely.
+    /// Whether this VM has to follow the log closely, because no VM of its zone with a lower
+    /// address does.
     pub(crate) fn follows_closely(&self, now: Instant) -> bool {
         let zone = &self.settings.availability_zone;
         follows_closely(self.settings.peer_address, self.peers.readings(zone), now)
     }
 
-    /// The news of which VMs tell that follow the log closely for this one; `None` if this VM is
-    /// to follow it itself.
+    /// Returns the most recent log positions that a VM of the zone advertises; `None` if this VM
+    /// has to follow the log itself.
     pub(crate) fn advertised_readings(&self, now: Instant) -> Option<Readings> {
-        // Whoever gives orders has to know what servers hold as soon as they tell.
+        // The leader has to know what servers hold as soon as they report it.
         if self.fence.get() > 0 || self.follows_closely(now) {
             return None;
         }
-        let told = self.peers.readings(&self.settings.availability_zone);
-        told.into_iter()
+        let advertised = self.peers.readings(&self.settings.availability_zone);
+        advertised
+            .into_iter()
             .map(|(_, readings)| readings)
             .filter(|readings| readings.is_fresh(now))
             .max_by_key(|readings| (readings.configuration.news, readings.directory.news))
     }
 
-    /// Takes over changes of the directory that the VM that follows it passed on.
-    pub(super) fn apply_directory_update(&self, news: DirectoryNews, now: Instant) {
-        let is_shaken = news.is_shaken;
+    /// Applies a directory update sent by the VM that follows the directory for this one.
+    pub(super) fn apply_directory_update(&self, update: DirectoryNews, now: Instant) {
+        let was_log_unavailable = update.is_shaken;
         let end = self.following.directory_end.get();
-        let changes = self.assembly.borrow_mut().take(news, end);
+        let changes = self.assembly.borrow_mut().take(update, end);
         let Some(changes) = changes else {
             return;
         };
-        if is_shaken {
+        if was_log_unavailable {
             self.following.shaken_at.set(Some(now));
         }
         debug!(
             from = end,
             next = changes.next,
             changes = changes.items.len(),
-            "directory told"
+            "directory update applied"
         );
         let next = changes.next;
         self.apply_directory_changes(changes, now);
@@ -194,59 +199,62 @@
         self.purge_removed(now);
     }
 
-    /// Takes changes of the directory over; returns those that others are to be told of, and
-    /// whether servers came, left or changed their state.
+    /// Applies changes of the directory. Returns the changes to send to other VMs, and whether
+    /// servers were added or removed or changed their state.
     pub(super) fn apply_directory_changes(
         &self,
         changes: Changes<ServerChange>,
         now: Instant,
     ) -> (Vec<ServerChange>, bool) {
-        let mut has_news = false;
-        let mut told = Vec::new();
+        let mut has_availability_change = false;
+        let mut to_send = Vec::new();
         for change in changes.items {
             match change {
                 ServerChange::Upserted(entry) => {
-                    let taken = self.fleet.take(entry.clone());
-                    if taken == EntryChange::AvailabilityChanged {
-                        has_news = true;
+                    let entry_change = self.fleet.take(entry.clone());
+                    if entry_change == EntryChange::AvailabilityChanged {
+                        has_availability_change = true;
                         info!(server = %entry.id, state = ?entry.state, "server listed");
                     }
-                    if taken > EntryChange::Renewed {
-                        told.push(ServerChange::Upserted(entry));
+                    if entry_change > EntryChange::Renewed {
+                        to_send.push(ServerChange::Upserted(entry));
                     }
                 }
                 ServerChange::Removed(id) => {
-                    has_news |= self.fleet.server(&id).is_some();
+                    has_availability_change |= self.fleet.server(&id).is_some();
                     self.fleet.mark_removed(&id, now);
-                    // Others may know it still, where this VM alone met another one at its address.
-                    told.push(ServerChange::Removed(id));
+                    // Sent even if this VM has already removed the server, because another server
+                    // answered at its address: other VMs may still list it.
+                    to_send.push(ServerChange::Removed(id));
                 }
             }
         }
         self.is_directory_known.set(true);
         self.changed.notify();
-        (told, has_news)
+        (to_send, has_availability_change)
     }
 
-    /// Servers whose entry lapsed are gone, at once unless the log itself was away.
+    /// Removes servers whose directory entry is gone: at once, or after [`REMOVAL_GRACE`] if the
+    /// log was recently unavailable, since entries may then expire although their servers still
+    /// run.
     pub(super) fn purge_removed(&self, now: Instant) {
-        let is_shaken = self.following.is_shaken(now);
-        let limit = if is_shaken {
-            LAPSE_LIMIT
+        let was_log_unavailable = self.following.is_shaken(now);
+        let grace = if was_log_unavailable {
+            REMOVAL_GRACE
         } else {
             Duration::ZERO
         };
-        for id in self.fleet.purge_removed(limit, now) {
-            info!(server = %id, is_shaken, "server gone");
+        for id in self.fleet.purge_removed(grace, now) {
+            info!(server = %id, is_shaken = was_log_unavailable, "server gone");
         }
     }
 
-    /// How many VMs of the own zone come before this one by address.
+    /// Returns the number of VMs in the local zone with a lower address than this one.
     pub(crate) fn zone_rank(&self) -> usize {
         self.peers.rank_in(&self.settings.availability_zone)
     }
 
-    /// Whether callers can be served.
+    /// Whether this VM can serve callers.
     pub(crate) fn is_ready(&self) -> bool {
         !self.shutdown.is_leaving()
             && self.is_directory_known.get()
@@ -254,7 +262,8 @@
             && self.configuration.borrow().is_some()
     }
 
-    /// Counts a request that waits for weights.
+    /// Counts a request as waiting for weights until the guard is dropped, and reports the demand
+    /// to the leader.
     pub(crate) fn count_waiting(self: &Rc<Self>, weights: &Weights) -> WaitingGuard {
         let mut waiting = self.waiting.borrow_mut();
         *waiting.entry(weights.clone()).or_default() += 1;
@@ -265,7 +274,7 @@
         }
     }
 
-    /// The demand at this VM.
+    /// Returns the demand at this VM, by weights.
     pub(crate) fn own_demand(&self, now: Instant) -> Vec<(Weights, DemandRate)> {
         let mut demand: HashMap<Weights, DemandRate> = HashMap::new();
         for (weights, rate) in self.demand.rates(now) {
@@ -277,7 +286,7 @@
         demand.into_iter().collect()
     }
 
-    /// The demand at all VMs.
+    /// Returns the demand at all VMs, by weights.
     pub(crate) fn demand(&self, now: Instant) -> HashMap<Weights, DemandRate> {
         let mut demand: HashMap<Weights, DemandRate> = HashMap::new();
         let all = self.own_demand(now).into_iter().chain(self.peers.demands());
