--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers as this VM sees them.
+//! The backend servers as this VM knows them, from the directory, the leader and its own requests.
 
 use crate::gateway::Weights;
 use crate::gateway::backlog::Backlog;
@@ -9,43 +9,43 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a server that broke a connection or refused one is passed over at first.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// How long it is passed over at most, while it goes on failing.
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_000);
-/// How long a server that said it lacks a model is taken at its word; by then the
-/// directory has a newer entry.
-const MISSING_PAUSE: Duration = Duration::from_millis(1_000);
-/// How old what the leading VM says of a server's models may be: it says so at each change, and
-/// again every few seconds.
-const LEADER_VIEW_LIMIT: Duration = Duration::from_millis(6_000);
-
-/// Servers that are gone whose last run is kept in mind, at most: what they wrote before is
-/// in the log for minutes.
-const MAX_ENDED: usize = 10_000;
-
-/// Whether a backend server takes new requests.
+/// How long other servers are preferred to one after its first failed connection.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// The longest backoff of a server whose connections continue to fail.
+const MAX_BACKOFF: Duration = Duration::from_millis(2_000);
+/// How long weights that a server reported as missing are assumed to be missing; by then the
+/// directory contains a newer entry.
+const MISSING_RETENTION: Duration = Duration::from_millis(1_000);
+/// The age from which the holdings that the leader advertised for a server are ignored. The leader
+/// sends them at each change and again every few seconds.
+const LEADER_VIEW_MAX_AGE: Duration = Duration::from_millis(6_000);
+
+/// Maximum number of removed servers whose last run is remembered, so that entries of earlier runs
+/// are ignored. Such entries stay in the log for minutes.
+const MAX_ENDED_RUNS: usize = 10_000;
+
+/// The state that a backend server announces in its directory entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ServerState {
-    /// It does.
+    /// The server accepts new requests.
     Ready,
-    /// It is about to leave.
+    /// The server is about to leave and accepts no new requests.
     Draining,
 }
 
-/// A model that a runner holds.
+/// A model that is loaded on a runner, with its adapters.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Holding {
-    /// The model.
+    /// The name of the model.
     pub(crate) model: Name,
     /// The version of its weights.
     pub(crate) version: u64,
-    /// The adapters over it.
+    /// The adapters of the model that are loaded.
     pub(crate) adapters: Vec<Name>,
 }
 
 impl Holding {
-    /// Whether both are the same, with the adapters in whatever order.
+    /// Whether both are equal, in any order of the adapters.
     fn is_same(&self, other: &Self) -> bool {
         self.model == other.model
             && self.version == other.version
@@ -60,38 +60,38 @@
 /// A backend server's entry in the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Entry {
-    /// The server's name, which it may keep when it starts again.
+    /// The server's name, which it may keep after a restart.
     pub(crate) id: Name,
-    /// When the server's process started, in Unix milliseconds: names one run under the id.
+    /// When the server's process started, in Unix milliseconds; identifies one run under the id.
     pub(crate) started_ms: u64,
-    /// Counts what this run wrote of itself.
+    /// The number of this entry among those that this run wrote.
     pub(crate) sequence: u64,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub(crate) service: Name,
-    /// Where it listens.
+    /// The address that the server listens at.
     pub(crate) address: SocketAddr,
-    /// The availability zone that it stands in.
+    /// The availability zone that the server is in.
     pub(crate) availability_zone: Name,
-    /// Requests that it runs at a time.
+    /// The number of requests that the server executes concurrently.
     pub(crate) slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the server accepts new requests.
     pub(crate) state: ServerState,
-    /// The models that it holds.
+    /// The models that are loaded on the server.
     pub(crate) holdings: Vec<Holding>,
-    /// Models whose weights it keeps in host memory.
+    /// Models whose weights are kept in host memory.
     pub(crate) in_memory: Vec<Name>,
-    /// Models whose weights it keeps on disk.
+    /// Models whose weights are kept on disk.
     pub(crate) on_disk: Vec<Name>,
 }
 
 impl Entry {
-    /// Whether the same server wrote `other` before this, in this run or in an earlier one.
+    /// Whether this entry is the same as `other` or a later one, of the same run or a later run.
     fn is_newer_than(&self, other: &Self) -> bool {
         (self.started_ms, self.sequence) >= (other.started_ms, other.sequence)
     }
 }
 
-/// One run of a backend server's process; the server may start again under its id.
+/// Identifies one run of a backend server's process; a restarted server keeps its id.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Incarnation {
     /// The server's name.
@@ -100,27 +100,32 @@
     pub(crate) started_ms: u64,
 }
 
-/// One run of a backend server's process.
+/// One run of a backend server's process, with what this VM knows of it.
 #[derive(Debug)]
 pub(crate) struct Server {
     /// The server's name.
     pub(crate) id: Name,
     /// When this run started, in Unix milliseconds.
     pub(crate) started_ms: u64,
-    /// Where it listens.
+    /// The address that the server listens at.
     pub(crate) address: SocketAddr,
-    /// The prompts that wait there.
+    /// The prefill time of the prompts queued at the server.
     pub(crate) backlog: Backlog,
     entry: RefCell<Entry>,
+    /// Requests of this VM that are in flight on the server, by model.
     in_flight: RefCell<HashMap<Name, u32>>,
+    /// Failed connections in a row.
     failures: Cell<u32>,
-    passed_over_until: Cell<Option<Instant>>,
-    lapsed_at: Cell<Option<Instant>>,
-    missing: RefCell<Vec<(Weights, Instant)>>,
+    backoff_until: Cell<Option<Instant>>,
+    /// When the server's entry was removed from the directory.
+    removed_at: Cell<Option<Instant>>,
+    /// Weights that the server reported as missing, and until when they are assumed to be.
+    missing_weights: RefCell<Vec<(Weights, Instant)>>,
+    /// When the leader last advertised the server's holdings, and which.
     leader_view: RefCell<Option<(Instant, Vec<Holding>)>>,
 }
 
-/// Counts a request as in flight on a server until dropped.
+/// Keeps a request counted as in flight on a server until dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard {
     server: Rc<Server>,
@@ -149,14 +154,14 @@
             entry: RefCell::new(entry),
             in_flight: RefCell::default(),
             failures: Cell::new(0),
-            passed_over_until: Cell::new(None),
-            lapsed_at: Cell::new(None),
-            missing: RefCell::default(),
+            backoff_until: Cell::new(None),
+            removed_at: Cell::new(None),
+            missing_weights: RefCell::default(),
             leader_view: RefCell::new(None),
         }
     }
 
-    /// What names this run.
+    /// Returns the identifier of this run.
     pub(crate) fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.id.clone(),
@@ -164,34 +169,33 @@
         }
     }
 
-    /// Looks at the server's entry.
-    pub(crate) fn with_entry<R>(&self, look: impl FnOnce(&Entry) -> R) -> R {
-        look(&self.entry.borrow())
+    /// Calls `read` with the server's directory entry.
+    pub(crate) fn with_entry<R>(&self, read: impl FnOnce(&Entry) -> R) -> R {
+        read(&self.entry.borrow())
     }
 
-    /// Whether it takes new requests, as far as the directory tells.
+    /// Whether the directory lists the server as accepting new requests.
     pub(crate) fn is_listed_ready(&self) -> bool {
-        self.lapsed_at.get().is_none() && self.entry.borrow().state == ServerState::Ready
+        self.removed_at.get().is_none() && self.entry.borrow().state == ServerState::Ready
     }
 
-    /// Whether its entry is gone.
+    /// Whether the server's entry has been removed from the directory.
     pub(crate) fn is_marked_removed(&self) -> bool {
-        self.lapsed_at.get().is_some()
+        self.removed_at.get().is_some()
     }
 
-    /// Whether it broke or refused a connection a moment ago.
+    /// Whether a connection to the server failed recently, so that other servers are preferred.
     pub(crate) fn is_in_backoff(&self, now: Instant) -> bool {
-        self.passed_over_until
-            .get()
-            .is_some_and(|until| now < until)
+        self.backoff_until.get().is_some_and(|until| now < until)
     }
 
-    /// Requests of this VM on the server.
+    /// Returns the number of requests of this VM that are in flight on the server.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight.borrow().values().sum()
     }
 
-    /// Requests of this VM on the server by model; the empty name stands for plain calls.
+    /// Returns the number of requests of this VM that are in flight on the server, by model. The
+    /// empty name stands for requests to plain services.
     pub(crate) fn in_flight_by_model(&self) -> Vec<(Name, u32)> {
         let in_flight = self.in_flight.borrow();
         let counts = in_flight.iter();
@@ -200,7 +204,8 @@
             .collect()
     }
 
-    /// Counts one more request for a model; the empty name stands for plain calls.
+    /// Counts a request for a model as in flight until the guard is dropped. The empty name stands
+    /// for requests to plain services.
     pub(crate) fn track_in_flight(self: &Rc<Self>, model: Name) -> InFlightGuard {
         *self
             .in_flight
@@ -213,28 +218,28 @@
         }
     }
 
-    /// Notes that a connection was refused, broke or stayed silent.
+    /// Records that a connection was refused, broke or gave no response; doubles the backoff.
     pub(crate) fn note_failure(&self, now: Instant) {
         let failures = self.failures.get().min(8);
-        let pause = (FIRST_PAUSE * 2_u32.pow(failures)).min(LONGEST_PAUSE);
+        let backoff = (INITIAL_BACKOFF * 2_u32.pow(failures)).min(MAX_BACKOFF);
         self.failures.set(failures + 1);
-        self.passed_over_until.set(Some(now + pause));
+        self.backoff_until.set(Some(now + backoff));
     }
 
-    /// Notes a whole answer.
+    /// Records a complete response; ends the backoff.
     pub(crate) fn note_success(&self) {
         self.failures.set(0);
-        self.passed_over_until.set(None);
+        self.backoff_until.set(None);
     }
 
-    /// Notes that the server said it lacks these weights.
+    /// Records that the server reported these weights as missing.
     pub(crate) fn note_missing(&self, weights: Weights, now: Instant) {
-        let mut missing = self.missing.borrow_mut();
-        missing.retain(|(_, until)| *until > now);
-        missing.push((weights, now + MISSING_PAUSE));
+        let mut missing_weights = self.missing_weights.borrow_mut();
+        missing_weights.retain(|(_, until)| *until > now);
+        missing_weights.push((weights, now + MISSING_RETENTION));
     }
 
-    /// Whether the server's entry lists these models, in whatever order.
+    /// Whether the server's entry lists exactly these models, in any order.
     pub(crate) fn lists(&self, holdings: &[Holding]) -> bool {
         let entry = self.entry.borrow();
         entry.holdings.len() == holdings.len()
@@ -243,33 +248,34 @@
                 .all(|held| entry.holdings.iter().any(|listed| listed.is_same(held)))
     }
 
-    /// Takes over what the leading VM says of the server's models.
+    /// Records the holdings that the leader advertises for the server.
     pub(crate) fn note_leader_view(&self, holdings: Vec<Holding>, now: Instant) {
-        self.missing.borrow_mut().clear();
+        self.missing_weights.borrow_mut().clear();
         *self.leader_view.borrow_mut() = Some((now, holdings));
     }
 
-    /// Whether the server holds these weights, as far as is known.
+    /// Whether the server holds these weights, as far as this VM knows.
     pub(crate) fn holds(&self, weights: &Weights, now: Instant) -> bool {
-        let missing = self.missing.borrow();
-        let is_missing = |(what, until): &(Weights, Instant)| what == weights && *until > now;
-        if missing.iter().any(is_missing) {
+        let missing_weights = self.missing_weights.borrow();
+        let is_missing = |(missing, until): &(Weights, Instant)| missing == weights && *until > now;
+        if missing_weights.iter().any(is_missing) {
             return false;
         }
         self.with_holdings(now, |holdings| holds(holdings, weights))
     }
 
-    /// Looks at the models that the server holds, as far as is known.
-    pub(crate) fn with_holdings<R>(&self, now: Instant, look: impl FnOnce(&[Holding]) -> R) -> R {
+    /// Calls `read` with the server's holdings: those that the leader advertised, or those of the
+    /// directory entry if the leader advertised none recently.
+    pub(crate) fn with_holdings<R>(&self, now: Instant, read: impl FnOnce(&[Holding]) -> R) -> R {
         let view = self.leader_view.borrow();
         match view.as_ref() {
-            Some((at, holdings)) if now.duration_since(*at) < LEADER_VIEW_LIMIT => look(holdings),
-            _ => look(&self.entry.borrow().holdings),
+            Some((at, holdings)) if now.duration_since(*at) < LEADER_VIEW_MAX_AGE => read(holdings),
+            _ => read(&self.entry.borrow().holdings),
         }
     }
 }
 
-/// Whether the weights are among the holdings.
+/// Whether the holdings contain the weights.
 pub(crate) fn holds(holdings: &[Holding], weights: &Weights) -> bool {
     let of_model = holdings
         .iter()
@@ -280,14 +286,14 @@
     })
 }
 
-/// What an entry brought.
+/// What a received directory entry changed, from the least to the most significant.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum EntryChange {
-    /// Nothing, or only that the server lives.
+    /// Nothing: the entry is outdated or only shows that the server is alive.
     Renewed,
-    /// The server holds something else, or its entry is back.
-    Changed,
-    /// The server is new or changed its state.
+    /// The server's holdings or slots changed, or its removed entry is back.
+    ContentChanged,
+    /// The server is new or its state changed.
     AvailabilityChanged,
 }
 
@@ -295,85 +301,86 @@
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     servers: RefCell<HashMap<Name, Rc<Server>>>,
-    /// The last run of each server that is gone: what an earlier one wrote comes late.
-    ended: RefCell<HashMap<Name, u64>>,
+    /// The start time of the last run of each removed server: entries of earlier runs may still
+    /// arrive.
+    ended_runs: RefCell<HashMap<Name, u64>>,
 }
 
 impl Fleet {
-    /// Takes over an entry; tells what is new in it.
+    /// Applies a directory entry; returns what it changed.
     ///
-    /// A server that started again under its id is a new one, which holds nothing of before;
-    /// an entry that it wrote earlier than the present one is passed over.
+    /// A server that restarted under its id replaces the previous run, and none of that run's
+    /// holdings are kept. Entries that are older than the current one are ignored.
     pub(crate) fn take(&self, entry: Entry) -> EntryChange {
         let mut servers = self.servers.borrow_mut();
-        let ended = self.ended.borrow_mut().remove(&entry.id);
-        if let Some(ended) = ended.filter(|ended| *ended > entry.started_ms) {
-            self.ended.borrow_mut().insert(entry.id, ended);
+        let last_started_ms = self.ended_runs.borrow_mut().remove(&entry.id);
+        if let Some(last) = last_started_ms.filter(|last| *last > entry.started_ms) {
+            self.ended_runs.borrow_mut().insert(entry.id, last);
             return EntryChange::Renewed;
         }
-        let known = servers.get(&entry.id);
-        if known.is_some_and(|server| !entry.is_newer_than(&server.entry.borrow())) {
+        let current = servers.get(&entry.id);
+        if current.is_some_and(|server| !entry.is_newer_than(&server.entry.borrow())) {
             return EntryChange::Renewed;
         }
-        let same = known.filter(|server| {
+        let same_run = current.filter(|server| {
             server.started_ms == entry.started_ms && server.address == entry.address
         });
-        if let Some(server) = same {
-            let was_lapsed = server.lapsed_at.take().is_some();
+        if let Some(server) = same_run {
+            let was_removed = server.removed_at.take().is_some();
             let before = server.entry.replace(entry.clone());
             if before.state != entry.state {
                 return EntryChange::AvailabilityChanged;
             }
             let is_same = before.holdings == entry.holdings && before.slots == entry.slots;
-            return match is_same && !was_lapsed {
+            return match is_same && !was_removed {
                 true => EntryChange::Renewed,
-                false => EntryChange::Changed,
+                false => EntryChange::ContentChanged,
             };
         }
         servers.insert(entry.id.clone(), Rc::new(Server::new(entry)));
         EntryChange::AvailabilityChanged
     }
 
-    /// Marks a server's entry as gone; [`Fleet::purge_removed`] takes it away.
+    /// Marks a server's entry as removed; [`Fleet::purge_removed`] removes the server itself.
     pub(crate) fn mark_removed(&self, id: &str, now: Instant) {
         if let Some(server) = self.servers.borrow().get(id) {
-            server.lapsed_at.set(Some(now));
+            server.removed_at.set(Some(now));
         }
     }
 
-    /// Takes away servers whose entry has been gone for `limit`; returns their ids.
-    pub(crate) fn purge_removed(&self, limit: Duration, now: Instant) -> Vec<Name> {
+    /// Removes servers whose entry was removed at least `grace` ago; returns their ids.
+    pub(crate) fn purge_removed(&self, grace: Duration, now: Instant) -> Vec<Name> {
         let mut gone = Vec::new();
-        let mut ended = self.ended.borrow_mut();
-        if ended.len() >= MAX_ENDED {
-            ended.clear();
+        let mut ended_runs = self.ended_runs.borrow_mut();
+        if ended_runs.len() >= MAX_ENDED_RUNS {
+            ended_runs.clear();
         }
         self.servers.borrow_mut().retain(|id, server| {
             let is_gone = server
-                .lapsed_at
+                .removed_at
                 .get()
-                .is_some_and(|at| now.duration_since(at) >= limit);
+                .is_some_and(|at| now.duration_since(at) >= grace);
             if is_gone {
                 gone.push(id.clone());
-                ended.insert(id.clone(), server.started_ms);
+                ended_runs.insert(id.clone(), server.started_ms);
             }
             !is_gone
         });
         gone
     }
 
-    /// Finds a run of a server.
+    /// Returns a server if its current run is the given one.
     pub(crate) fn run(&self, incarnation: &Incarnation) -> Option<Rc<Server>> {
         let server = self.server(&incarnation.id)?;
         (server.started_ms == incarnation.started_ms).then_some(server)
     }
 
-    /// Finds a server.
+    /// Returns a server by its id.
     pub(crate) fn server(&self, id: &str) -> Option<Rc<Server>> {
         self.servers.borrow().get(id).cloned()
     }
 
-    /// The servers of a service.
+    /// Returns the servers of a service.
     pub(crate) fn of_service(&self, service: &str) -> Vec<Rc<Server>> {
         let servers = self.servers.borrow();
         let of_service = servers
@@ -382,7 +389,7 @@
         of_service.cloned().collect()
     }
 
-    /// All servers.
+    /// Returns all servers.
     pub(crate) fn servers(&self) -> Vec<Rc<Server>> {
         self.servers.borrow().values().cloned().collect()
     }
