--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -12,70 +12,71 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Configuration {
-    /// Grows with each change.
+    /// The version, which increases with each change.
     pub(crate) version: u64,
-    /// Routes by host, longest prefix first.
+    /// Routes by host, each host's routes sorted from the longest prefix to the shortest.
     routes: HashMap<Name, Vec<Rc<Route>>>,
     /// Services by name.
     pub(crate) services: HashMap<Name, Rc<Service>>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub(crate) limits: Limits,
-    /// The organisations that may send; `None` where requests need no key.
+    /// The organisations whose requests are accepted; `None` if requests need no API key.
     pub(crate) organisations: Option<Rc<Register>>,
 }
 
-/// Where requests of one host and path prefix go, and how they may be handled.
+/// The services and rules for requests with one host and path prefix.
 #[derive(Clone, Debug)]
 pub(crate) struct Route {
-    /// The operator's name for it.
+    /// The name that the operator gave the route.
     pub(crate) name: Name,
-    /// The host that it is about.
+    /// The host that the route matches.
     pub(crate) host: Name,
-    /// The beginning of the paths that it is about; ends with a slash.
+    /// The prefix of the paths that the route matches; ends with a slash.
     pub(crate) prefix: Name,
-    /// What may be repeated.
+    /// How responses are sent and whether requests may be executed more than once.
     pub(crate) kind: RouteKind,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub(crate) is_public: bool,
-    /// Whether a stream may go on at another backend server.
+    /// Whether an interrupted stream may be resumed at another backend server.
     pub(crate) resumable: bool,
-    /// How long a caller is kept waiting at most.
+    /// The longest time that a request may take, in milliseconds.
     pub(crate) timeout_ms: u64,
-    /// The time within which an answer, or a stream's first event, has its full worth.
+    /// The time within which a response, or the first event of a stream, has its full value to the
+    /// caller, in milliseconds.
     pub(crate) target_latency_ms: u64,
-    /// The longest pause between two events of an answer that has its full worth; 0 where
-    /// none is told.
+    /// The longest pause between two events of a stream that has its full value to the caller, in
+    /// milliseconds; 0 if none is configured.
     pub(crate) max_pause_ms: u64,
-    /// Backend servers that one request may be sent to.
+    /// The number of backend servers that may execute one request.
     pub(crate) max_attempts: u32,
-    /// The rank; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub(crate) priority: u32,
-    /// The services that answer, with their shares.
+    /// The services that receive the requests, with their shares.
     pub(crate) targets: Vec<Target>,
 }
 
-/// A service's share of a route.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// The service.
+    /// The name of the service.
     pub(crate) service: Name,
-    /// Its share, relative to the other targets.
+    /// The service's share, relative to the other targets.
     pub(crate) weight: u32,
 }
 
-/// What may be repeated of a route's requests.
+/// How responses are sent and whether requests may be executed more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RouteKind {
-    /// Idempotent: may run more than once.
+    /// Idempotent: may be executed more than once.
     Safe,
-    /// Runs at most once.
+    /// Executed at most once.
     Unsafe,
-    /// Answered by a stream of events; runs at most once unless it may be resumed.
+    /// Answered by a stream of events; executed at most once unless streams may be resumed.
     Streaming,
 }
 
 impl RouteKind {
-    /// The name in metrics.
+    /// Returns the name of the kind in metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Safe => "safe",
@@ -85,60 +86,61 @@
     }
 }
 
-/// A group of backend servers that serve the same.
+/// A group of interchangeable backend servers.
 #[derive(Clone, Debug)]
 pub(crate) struct Service {
-    /// Its name.
+    /// The name of the service.
     pub(crate) name: Name,
-    /// What its model runners can do; plain services have none.
+    /// The capacity and models of the service's runners; `None` for plain services.
     pub(crate) engine: Option<Engine>,
 }
 
-/// The model runners of a service.
+/// The capacity and models of each runner of a service.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
-    /// Accelerator memory for weights and adapters, in MB.
+    /// Accelerator memory for weights and adapters on each runner, in MB.
     pub(crate) weights_mb: f64,
-    /// Requests that a runner works on at a time.
+    /// The number of requests that a runner executes concurrently.
     pub(crate) slots: u32,
-    /// Adapters that a runner can hold.
+    /// The number of adapters that a runner can hold.
     pub(crate) adapter_slots: u32,
-    /// Loads a second that the weight store allows over all runners.
+    /// Loads per second that the weight store allows over all runners.
     pub(crate) loads_per_s: f64,
-    /// The models, the busiest first at the start.
+    /// The models, sorted from the highest to the lowest demand expected at start-up.
     pub(crate) models: Vec<Model>,
 }
 
-/// A model that runners can hold.
+/// A model that runners can load.
 #[derive(Clone, Debug)]
 pub(crate) struct Model {
-    /// Its name.
+    /// The name of the model.
     pub(crate) name: Name,
-    /// The size of its weights, in MB.
+    /// The size of the weights, in MB.
     pub(crate) weights_mb: f64,
-    /// A load from the weight store.
+    /// The duration of a load from the weight store, in milliseconds.
     pub(crate) load_ms: u64,
-    /// A load from the runner's own memory.
+    /// The duration of a load from the runner's host memory, in milliseconds.
     pub(crate) warm_load_ms: u64,
-    /// A load from the runner's own disk.
+    /// The duration of a load from the runner's disk, in milliseconds.
     pub(crate) disk_load_ms: u64,
-    /// How many adapters it has.
+    /// The number of adapters of the model.
     pub(crate) adapters: u32,
-    /// The size of an adapter, in MB.
+    /// The size of each adapter, in MB.
     pub(crate) adapter_mb: f64,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
-    /// The largest body.
+    /// The largest request body, in bytes.
     pub(crate) max_body_bytes: usize,
-    /// How long a caller's connection may stay idle.
+    /// How long a caller's connection may be idle, in milliseconds.
     pub(crate) idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// Used until a configuration is known: generous, so that no connection is cut early.
+    /// Limits used until a configuration is received; generous, so that no connection is closed too
+    /// early.
     fn default() -> Self {
         Self {
             max_body_bytes: 4 * 1024 * 1024,
@@ -148,7 +150,8 @@
 }
 
 impl Configuration {
-    /// Puts routes in the order of look-ups.
+    /// Creates a configuration without organisations; sorts routes so that the longest prefix
+    /// matches first.
     pub(crate) fn new(
         version: u64,
         routes: Vec<Route>,
@@ -176,17 +179,18 @@
         }
     }
 
-    /// With the organisations that may send.
+    /// Adds the organisations whose requests are accepted.
     pub(crate) fn with_organisations(mut self, organisations: Register) -> Self {
         self.organisations = Some(Rc::new(organisations));
         self
     }
 
-    /// The organisation of a request on a route; `None` where it needs none and names none.
+    /// Returns the organisation of a request on a route; `None` if none is needed and the key
+    /// belongs to none.
     ///
     /// # Errors
     ///
-    /// Fails where the route needs a key and this one is no organisation's.
+    /// Fails if the route needs a key and the key is absent or belongs to no organisation.
     pub(crate) fn organisation(
         &self,
         route: &Route,
@@ -202,7 +206,7 @@
         }
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Returns the route of a host with the longest prefix that matches the path.
     pub(crate) fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = self.routes.get(host)?;
         routes
@@ -210,18 +214,18 @@
             .find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// The number of routes.
+    /// Returns the number of routes.
     pub(crate) fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// A model and what its runners can do.
+    /// Returns a model and the engine whose runners can load it.
     pub(crate) fn model(&self, name: &str) -> Option<(&Engine, &Model)> {
         let mut engines = self.engines();
         engines.find_map(|(_, engine)| Some((engine, engine.model(name)?)))
     }
 
-    /// The services with model runners.
+    /// Returns the services that have runners.
     pub(crate) fn engines(&self) -> impl Iterator<Item = (&Rc<Service>, &Engine)> {
         let services = self.services.values();
         services.filter_map(|service| Some((service, service.engine.as_ref()?)))
@@ -229,7 +233,7 @@
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub(crate) fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -238,18 +242,19 @@
         }
     }
 
-    /// How long a caller is kept waiting at most.
+    /// Returns the longest time that a request may take.
     pub(crate) fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// The service for one request; `point` between 0 and 1 picks it by the shares.
+    /// Picks the service for one request according to the shares. `point` is uniformly distributed
+    /// between 0 and 1.
     pub(crate) fn pick_target(&self, point: f64) -> Option<&Name> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = point * f64::from(total);
+        let mut remaining = point * f64::from(total);
         for target in &self.targets {
-            left -= f64::from(target.weight);
-            if left < 0.0 {
+            remaining -= f64::from(target.weight);
+            if remaining < 0.0 {
                 return Some(&target.service);
             }
         }
@@ -258,16 +263,17 @@
 }
 
 impl Engine {
-    /// Whether a runner with these holdings, and adapters on their way, has room for more.
+    /// Whether a runner that has these holdings and is loading the adapters in `loading` has room
+    /// for `more`.
     pub(crate) fn has_room(
         &self,
         holdings: &[Holding],
-        coming: &[Weights],
+        loading: &[Weights],
         more: &Weights,
     ) -> bool {
         let held: usize = holdings.iter().map(|holding| holding.adapters.len()).sum();
-        let coming = coming.iter().filter(|weights| !holds(holdings, weights));
-        let adapters = held + coming.count() + usize::from(more.adapter.is_some());
+        let loading = loading.iter().filter(|weights| !holds(holdings, weights));
+        let adapters = held + loading.count() + usize::from(more.adapter.is_some());
         let adapter_mb = self.models.iter().map(|model| model.adapter_mb);
         let adapters_mb = adapter_mb.fold(0.0, f64::max) * adapters as f64;
         let size_mb = |name: &str| {
@@ -281,7 +287,7 @@
         adapters <= self.adapter_slots as usize && used_mb + adapters_mb <= self.weights_mb
     }
 
-    /// Finds a model.
+    /// Returns a model by its name.
     pub(crate) fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.name == name)
     }
