--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms of the serving role, in the Prometheus text format.
+//! Counters, gauges and histograms of the serving role, in the OpenMetrics text format.
 
 use prometheus_client::encoding::{EncodeLabelSet, text::encode};
 use prometheus_client::metrics::counter::Counter;
@@ -8,98 +8,98 @@
 use prometheus_client::registry::{Metric, Registry};
 use std::time::Duration;
 
-/// One metric as docs/METRICS.md shows it.
+/// The name and help text of one metric, as documented in docs/METRICS.md.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MetricDescription {
-    /// The name, without the prefix of all.
+    /// The name, without the prefix that all metrics share.
     pub(crate) name: &'static str,
-    /// What it counts or measures.
+    /// The help text: what the metric counts or measures.
     pub(crate) meaning: &'static str,
 }
 
-const fn row(name: &'static str, meaning: &'static str) -> MetricDescription {
+const fn describe(name: &'static str, meaning: &'static str) -> MetricDescription {
     MetricDescription { name, meaning }
 }
 
-/// Every metric of the serving role.
+/// The descriptions of all metrics of the serving role.
 pub(crate) const METRIC_DESCRIPTIONS: &[MetricDescription] = &[
-    row(
+    describe(
         "served_requests",
         "requests ended, by route kind and outcome",
     ),
-    row(
+    describe(
         "answer_seconds",
         "time from a plain request to its whole answer",
     ),
-    row(
+    describe(
         "first_event_seconds",
         "time from a request to its stream's first event",
     ),
-    row(
+    describe(
         "longest_pause_seconds",
         "longest pause between two events of a whole stream",
     ),
-    row(
+    describe(
         "place_wait_seconds",
         "time that a request waited for a server, where it did",
     ),
-    row(
+    describe(
         "organisation_requests",
         "requests of an organisation, by what its quota made of them",
     ),
-    row("attempts", "requests sent to servers, by what came of it"),
-    row("retries", "requests sent to a server once more"),
-    row("retries_denied", "retries that the budget did not allow"),
-    row("streams_resumed", "streams that went on at another server"),
-    row("connections_opened", "connections opened to servers"),
-    row("peer_messages", "messages sent to other VMs"),
-    row("store_calls", "calls to the store, by call and outcome"),
-    row(
+    describe("attempts", "requests sent to servers, by what came of it"),
+    describe("retries", "requests sent to a server once more"),
+    describe("retries_denied", "retries that the budget did not allow"),
+    describe("streams_resumed", "streams that went on at another server"),
+    describe("connections_opened", "connections opened to servers"),
+    describe("peer_messages", "messages sent to other VMs"),
+    describe("store_calls", "calls to the store, by call and outcome"),
+    describe(
         "store_call_seconds",
         "time of answered calls to the store, waits included",
     ),
-    row(
+    describe(
         "orders_given",
         "orders to runners, by operation and outcome",
     ),
-    row("configuration_version", "the configuration in force"),
-    row("servers", "backend servers in the directory"),
-    row("vms", "VMs known, this one included"),
-    row("is_leading", "1 while this VM gives orders"),
-    row("open_connections", "callers' connections"),
+    describe("configuration_version", "the configuration in force"),
+    describe("servers", "backend servers in the directory"),
+    describe("vms", "VMs known, this one included"),
+    describe("is_leading", "1 while this VM gives orders"),
+    describe("open_connections", "callers' connections"),
 ];
 
-/// A request's end.
+/// The labels of a request that has ended.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct RequestLabels {
-    /// `safe`, `unsafe` or `streaming`; `none` where the request was refused.
+    /// The kind of the route: `safe`, `unsafe` or `streaming`; `none` if the request was refused.
     pub(crate) kind: &'static str,
-    /// `answered`, `broken_off`, or why it was refused.
+    /// `answered`, `broken_off`, or the reason why the request was refused.
     pub(crate) outcome: &'static str,
 }
 
-/// A request of an organisation.
+/// The labels of a request of an organisation.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct OrganisationLabels {
-    /// The organisation.
+    /// The name of the organisation.
     pub(crate) organisation: String,
-    /// `granted` or `over_quota`.
+    /// The quota decision: `granted` or `over_quota`.
     pub(crate) outcome: &'static str,
 }
 
-/// What came of something.
+/// The label of an operation that is counted by outcome only.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct OutcomeLabels {
-    /// What came of it.
+    /// The outcome of the operation.
     pub(crate) outcome: &'static str,
 }
 
-/// A call or an operation with its outcome.
+/// The labels of a call to the store or an order to a runner.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct CallLabels {
-    /// The call or operation.
+    /// The name of the call or order.
     pub(crate) call: &'static str,
-    /// What came of it.
+    /// The outcome of the call or order.
     pub(crate) outcome: &'static str,
 }
 
@@ -129,8 +129,8 @@
     pub(crate) open_connections: Gauge,
 }
 
-/// Buckets from 5 ms to 20 s.
-fn seconds() -> Histogram {
+/// Creates a histogram of durations, with buckets from 5 ms to 20 s.
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 2.0, 13))
 }
 
@@ -140,10 +140,10 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("rattanjunction"),
             requests: Family::default(),
-            answer: seconds(),
-            first_event: seconds(),
-            longest_pause: seconds(),
-            slot_wait: seconds(),
+            answer: duration_histogram(),
+            first_event: duration_histogram(),
+            longest_pause: duration_histogram(),
+            slot_wait: duration_histogram(),
             organisations: Family::default(),
             attempts: Family::default(),
             retries: Counter::default(),
@@ -152,7 +152,7 @@
             connections_opened: Counter::default(),
             peer_messages: Counter::default(),
             store_calls: Family::default(),
-            store_call: seconds(),
+            store_call: duration_histogram(),
             orders: Family::default(),
             configuration_version: Gauge::default(),
             servers: Gauge::default(),
@@ -188,18 +188,19 @@
     }
 
     fn register(&mut self, name: &'static str, metric: impl Metric) {
-        let row = METRIC_DESCRIPTIONS.iter().find(|row| row.name == name);
-        let row = row.expect("every metric has a row");
-        self.registry.register(row.name, row.meaning, metric);
+        let description = METRIC_DESCRIPTIONS.iter().find(|it| it.name == name);
+        let description = description.expect("every metric has a description");
+        self.registry
+            .register(description.name, description.meaning, metric);
     }
 
-    /// Counts a request's end.
+    /// Counts a request that has ended.
     pub(crate) fn note_request(&self, kind: &'static str, outcome: &'static str) {
         let labels = RequestLabels { kind, outcome };
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Counts a request of an organisation.
+    /// Counts a request of an organisation, by the quota decision.
     pub(crate) fn note_organisation(&self, organisation: &str, outcome: &'static str) {
         let labels = OrganisationLabels {
             organisation: organisation.to_owned(),
@@ -208,14 +209,14 @@
         self.organisations.get_or_create(&labels).inc();
     }
 
-    /// Counts what came of sending a request to a server.
+    /// Counts an attempt to send a request to a server.
     pub(crate) fn note_attempt(&self, outcome: &'static str) {
         self.attempts
             .get_or_create(&OutcomeLabels { outcome })
             .inc();
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store and records how long it took.
     pub(crate) fn note_store_call(
         &self,
         call: &'static str,
@@ -227,17 +228,17 @@
         self.store_call.observe(took.as_secs_f64());
     }
 
-    /// Counts an order.
+    /// Counts an order to a runner.
     pub(crate) fn note_order(&self, call: &'static str, outcome: &'static str) {
         self.orders
             .get_or_create(&CallLabels { call, outcome })
             .inc();
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics in the OpenMetrics text format.
     pub(crate) fn to_text(&self) -> String {
         let mut text = String::new();
-        encode(&mut text, &self.registry).expect("a string takes all text");
+        encode(&mut text, &self.registry).expect("writing to a string never fails");
         text
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! The serving role: one process on every VM between callers and backend servers.
+//! The serving role: one process on every VM that relays requests from callers to backend servers.
 //!
-//! Everything here speaks in the types of this folder. Callers, backend servers, the
-//! log and the directory are met through the small traits of [`external`]; what decides
-//! (routing, retries, placement) is plain code without a network.
+//! The code uses the types of this module only. Callers, backend servers, the log and the directory
+//! are accessed through the small traits in [`external`]. The decisions on routing, retries and
+//! placement are made in code that does no network access, so that it can be tested without any.
 
 mod backlog;
 mod budget;
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of decisions that need no network.
+//! Unit tests of the serving role that need no network.
 
 mod brief;
 mod decisions;
@@ -26,7 +26,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A VM's beliefs, of a deployment without any bounds that matter here.
+/// Creates the state of a VM whose settings contain only placeholders for the bounds.
 fn state() -> State {
     let address = "10.1.0.1:7380".parse().expect("an address");
     let settings = Settings {
@@ -53,15 +53,15 @@
     State::new(settings, Rc::new(Metrics::new()))
 }
 
-/// The address of a VM by its number in a fleet.
+/// Returns the address of the VM with an index.
 fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 1, (index / 256) as u8, (index % 256) as u8], 7_380))
 }
 
-/// The number of the VM at an address.
+/// Returns the index of the VM with an address that [`address`] returned.
 fn index(address: SocketAddr) -> usize {
     let IpAddr::V4(ip) = address.ip() else {
-        panic!("{address} is no VM's");
+        panic!("{address} is not the address of a VM");
     };
     let [_, _, high, low] = ip.octets();
     usize::from(high) * 256 + usize::from(low)
