--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -4,9 +4,9 @@
 use crate::gateway::call::Cost;
 use crate::gateway::crash_suspects::CrashSuspects;
 use crate::gateway::demand::Demand;
-use crate::gateway::directory_updates::{Assembly, DirectoryNews};
+use crate::gateway::directory_updates::{Assembly, DirectoryUpdate};
 use crate::gateway::fleet::{EntryChange, Fleet, Holding, Incarnation};
-use crate::gateway::log_follower::{Following, Readings, follows_closely};
+use crate::gateway::log_follower::{FollowerState, Readings, follows_closely};
 use crate::gateway::peers::{DemandRate, Peers, UpdateScope};
 use crate::gateway::speeds::Speeds;
 use crate::gateway::{
@@ -39,7 +39,7 @@
     /// The other VMs, as known from gossip messages.
     pub(crate) peers: Peers,
     /// How far this VM has read the log.
-    pub(crate) following: Following,
+    pub(crate) following: FollowerState,
     /// Requests that were in flight when servers crashed.
     pub(crate) suspects: CrashSuspects,
     /// The demand for weights by the requests that this VM receives.
@@ -90,7 +90,7 @@
             fleet: Fleet::default(),
             is_directory_known: Cell::new(false),
             peers: Peers::new(settings.peer_address, Instant::now()),
-            following: Following::default(),
+            following: FollowerState::default(),
             suspects: CrashSuspects::default(),
             demand: Demand::default(),
             speeds: Speeds::default(),
@@ -177,7 +177,7 @@
     }
 
     /// Applies a directory update sent by the VM that follows the directory for this one.
-    pub(super) fn apply_directory_update(&self, update: DirectoryNews, now: Instant) {
+    pub(super) fn apply_directory_update(&self, update: DirectoryUpdate, now: Instant) {
         let was_log_unavailable = update.is_shaken;
         let end = self.following.directory_end.get();
         let changes = self.assembly.borrow_mut().take(update, end);
@@ -185,7 +185,7 @@
             return;
         };
         if was_log_unavailable {
-            self.following.shaken_at.set(Some(now));
+            self.following.disrupted_at.set(Some(now));
         }
         debug!(
             from = end,
@@ -195,7 +195,7 @@
         );
         let next = changes.next;
         self.apply_directory_changes(changes, now);
-        self.following.note_told(next);
+        self.following.note_received_update(next);
         self.purge_removed(now);
     }
 
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -1,6 +1,6 @@
 //! Changes of the directory reach the zone whole, or not at all.
 
-use crate::gateway::directory_updates::{Assembly, DirectoryNews, news_of};
+use crate::gateway::directory_updates::{Assembly, DirectoryUpdate, news_of};
 use crate::gateway::fleet::{Entry, Holding, ServerState};
 use crate::gateway::peers::Peers;
 use crate::gateway::state::State;
@@ -41,12 +41,12 @@
     (0..count).map(here).chain([gone]).collect()
 }
 
-fn parts(count: usize, from: u64, next: u64) -> Vec<DirectoryNews> {
+fn parts(count: usize, from: u64, next: u64) -> Vec<DirectoryUpdate> {
     news_of(&changes(count), from, next, false).expect("they are few enough")
 }
 
 /// What is taken over of messages by a reader that has read up to `end`.
-fn taken(messages: Vec<DirectoryNews>, end: Option<u64>) -> Option<(usize, u64)> {
+fn taken(messages: Vec<DirectoryUpdate>, end: Option<u64>) -> Option<(usize, u64)> {
     let mut assembly = Assembly::default();
     let mut whole = None;
     for message in messages {
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -45,12 +45,12 @@
 const OTHERS_PAUSE: Duration = Duration::from_millis(4_000);
 
 /// Keeps the state in step with what the log holds.
-pub(crate) struct Watch<S> {
+pub(crate) struct LogWatcher<S> {
     state: Rc<State>,
     store: Rc<S>,
 }
 
-impl<S: ConfigSource + Directory> Watch<S> {
+impl<S: ConfigSource + Directory> LogWatcher<S> {
     /// A watch over a store.
     pub(crate) fn new(state: Rc<State>, store: Rc<S>) -> Rc<Self> {
         Rc::new(Self { state, store })
@@ -128,11 +128,11 @@
                 }
                 Err(StoreError::Compacted) => {
                     following.directory_end.set(None);
-                    following.shaken_at.set(Some(Instant::now()));
+                    following.disrupted_at.set(Some(Instant::now()));
                     self.await_new_reading("directory", failures).await;
                 }
                 Err(error) => {
-                    following.shaken_at.set(Some(Instant::now()));
+                    following.disrupted_at.set(Some(Instant::now()));
                     self.note_failure("directory", error, failures);
                     failures += 1;
                     self.await_retry(failures).await;
