--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -58,7 +58,7 @@
             }
         }
         if let Some(update) = digest.directory.clone() {
-            self.state.take_directory_news(update, now);
+            self.state.apply_directory_update(update, now);
         }
         self.apply_holdings(&digest, now);
         self.apply_prompts(sender, &digest, now);
--- a/src/gateway/tests/order_dispatch.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -136,8 +136,8 @@
         name: name.into(),
         weights_mb: CAPACITY_MB,
         load_ms: 300,
-        warm_ms: 300,
-        disk_ms: 300,
+        warm_load_ms: 300,
+        disk_load_ms: 300,
         adapters: 0,
         adapter_mb: 0.0,
     }
@@ -179,13 +179,13 @@
         items: vec![change],
         next: 0,
     };
-    state.take_directory(changes, Instant::now());
+    state.apply_directory_changes(changes, Instant::now());
 }
 
 /// Returns a leader with one listed runner.
 fn leader(control: &Control) -> (Rc<State>, Rc<OrderDispatcher<Control>>) {
     let state = Rc::new(state());
-    state.take_configuration(configuration());
+    state.apply_configuration(configuration());
     apply_change(&state, ServerChange::Upserted(entry()));
     let dispatcher = OrderDispatcher::new(state.clone(), control.clone());
     dispatcher.start(1);
@@ -233,11 +233,11 @@
         model: "b".into(),
         adapter: None,
     };
-    let _waiting = state.wait_for(&wanted);
+    let _waiting = state.count_waiting(&wanted);
     tick(&dispatcher, 10).await;
     assert_eq!(control.0.borrow().orders, 1, "the unload is in flight");
     apply_change(&state, ServerChange::Removed(SERVER.into()));
-    state.forget_lapsed(Instant::now());
+    state.purge_removed(Instant::now());
     assert!(state.fleet.server(SERVER).is_none());
     tick(&dispatcher, 2).await;
     tick(&dispatcher, 5).await;
@@ -263,7 +263,7 @@
         model: "b".into(),
         adapter: None,
     };
-    let _waiting = state.wait_for(&wanted);
+    let _waiting = state.count_waiting(&wanted);
     tick(&dispatcher, 10).await;
     control.0.borrow_mut().missing_reports = missing_reports;
     let mut is_known = true;
