--- a/src/control/artifact.rs
+++ b/src/control/artifact.rs
@@ -1,24 +1,23 @@
-//! What can be loaded: a model or an adapter in one version.
+//! Artifacts: what a runner loads.
 
 use crate::inventory::{Inventory, Name};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A model or an adapter in one version.
+/// A model, or an adapter of a model, in one version.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Artifact {
-    /// The model.
+    /// Name of the model.
     pub(crate) model: Name,
-    /// The adapter over it, if this is one.
+    /// Name of the adapter, or `None` for the model itself.
     pub(crate) adapter: Option<Name>,
-    /// The version.
+    /// Version of the model or of the adapter.
     pub(crate) version: Name,
 }
 
 impl Artifact {
-    /// The artifact that a caller's model name stands for, with the one it lies over.
-    ///
-    /// `model` names a model or `model/adapter`.
+    /// Resolves `model` or `model/adapter`, as callers name it, to the version that the inventory
+    /// lists; `None` if it lists neither.
     pub(crate) fn resolve(inventory: &Inventory, name: &str) -> Option<Artifact> {
         if let Some(model) = inventory.model(name) {
             return Some(Self {
@@ -37,14 +36,14 @@
         })
     }
 
-    /// Whether both serve the same name, in whatever version.
+    /// Whether both are the same model and adapter, in any version.
     pub(crate) fn has_same_name(&self, other: &Self) -> bool {
         self.model == other.model && self.adapter == other.adapter
     }
 
-    /// Parses `model@version` or `model/adapter@version` as engines report it.
+    /// Parses `model@version` or `model/adapter@version`, as engines report it.
     ///
-    /// Any text is some artifact, so that nothing an engine holds goes uncounted.
+    /// Any other text becomes an artifact without a version, so that all memory is counted.
     pub(crate) fn parse(text: &str, inventory: &Inventory) -> Self {
         let Some((name, version)) = text.rsplit_once('@') else {
             return Self {
@@ -77,7 +76,7 @@
     }
 }
 
-/// The JSON form: model, adapter or nothing, version, joined by spaces.
+/// Serialises to a string of model, adapter (empty for none) and version, joined by spaces.
 impl Serialize for Artifact {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let model = escape(&self.model);
@@ -94,7 +93,9 @@
         let (Some(model), Some(adapter), Some(version), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(serde::de::Error::custom("an artifact has three parts"));
+            return Err(serde::de::Error::custom(
+                "expected an artifact as \"model adapter version\"",
+            ));
         };
         Ok(Self {
             model: model.into(),
@@ -104,7 +105,7 @@
     }
 }
 
-/// Engines may report any text, also with spaces.
+/// Escapes spaces, which separate the parts: engines may report any text.
 fn escape(part: &str) -> String {
     part.replace('%', "%25").replace(' ', "%20")
 }
--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// The claim that an order is given under.
+/// The leadership claim under which a command is recorded.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct ClaimRef {
-    /// The group of runners.
+    /// Name of the group of runners.
     pub(crate) group: Name,
     /// The fence of the claim.
     pub(crate) claim: u64,
@@ -17,48 +17,48 @@
 /// How an order ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum Outcome {
-    /// The engine reports it done.
+    /// The engine reports the order as carried out.
     Done,
-    /// The engine refused it, or it can no longer arrive.
+    /// The engine refused the order, or the order can no longer arrive.
     Failed,
 }
 
-/// What an engine reports to hold.
+/// A copy that an engine reports.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct HeldCopy {
     /// The artifact.
     pub(crate) artifact: Artifact,
-    /// Memory it takes.
+    /// Memory that the copy takes, in MiB.
     pub(crate) mib: u64,
-    /// Where it stands.
+    /// State of the copy.
     pub(crate) state: CopyState,
 }
 
-/// What a writer asks for.
+/// A command that a writer appends to the control stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) enum Command {
     /// Puts an inventory in force, if `base` is the revision in force.
     Publish { base: u64, inventory: Rc<Inventory> },
-    /// Puts the inventory in force with a change, if `base` is its revision.
+    /// Changes the inventory in force, if `base` is the revision in force.
     Amend {
         base: u64,
         change: Rc<InventoryChange>,
     },
-    /// Takes over a group, if `after` is the fence of the present claim.
+    /// Claims the leadership of a group, if `after` is the fence of the current claim.
     Claim { group: Name, vm: Name, after: u64 },
-    /// Sets memory aside and allows the order to load.
+    /// Reserves memory for a copy and permits the order to load it.
     Load {
         under: ClaimRef,
         runner: Name,
         artifact: Artifact,
     },
-    /// Allows the order to unload; the memory stays taken until settled.
+    /// Permits the order to unload; the memory stays taken until the order is settled.
     Unload {
         under: ClaimRef,
         runner: Name,
         artifact: Artifact,
     },
-    /// Ends an order. `clean` says that no copy of it can still arrive.
+    /// Ends an order. `clean` says that no duplicate of the order can still arrive.
     Settle {
         under: ClaimRef,
         runner: Name,
@@ -67,26 +67,26 @@
         outcome: Outcome,
         clean: bool,
     },
-    /// Enters what a runner holds though no order of ours loaded it.
+    /// Records a copy that the runner holds though no recorded order loaded it.
     Adopt {
         under: ClaimRef,
         runner: Name,
         held: HeldCopy,
         boot: u64,
     },
-    /// Notes that a runner does not hold a copy any more that no order of ours unloaded.
+    /// Records that a runner no longer holds a copy though no recorded order unloaded it.
     Lose {
         under: ClaimRef,
         runner: Name,
         artifact: Artifact,
         boot: u64,
     },
-    /// Notes that a runner does not answer; its open loads are given up.
+    /// Records that a runner does not answer; its open loads are abandoned.
     MarkDown { under: ClaimRef, runner: Name },
-    /// Gives a fencing number that does nothing but outdate older ones.
+    /// Has no effect but a new fencing token, which makes older ones stale.
     Fence { under: ClaimRef, runner: Name },
-    /// Begins a runner's book anew with what it holds, after a start or a silence.
-    /// `fenced` says that the engine refuses all orders from before.
+    /// Rebuilds a runner's ledger from what it holds, after it restarted or answers again.
+    /// `fenced` says that the engine refuses all earlier orders.
     Reset {
         under: ClaimRef,
         runner: Name,
@@ -94,13 +94,13 @@
         fenced: bool,
         held: Vec<HeldCopy>,
     },
-    /// Says something of requests that may crash runners.
+    /// A command about requests that may crash runners.
     Suspect(SuspectCommand),
 }
 
 impl Command {
-    /// The claim and the runner of an order.
-    pub(crate) fn under(&self) -> Option<(&ClaimRef, &Name)> {
+    /// The claim and the runner of a command about a runner's ledger; `None` for others.
+    pub(crate) fn claim_and_runner(&self) -> Option<(&ClaimRef, &Name)> {
         match self {
             Self::Load { under, runner, .. }
             | Self::Unload { under, runner, .. }
@@ -117,11 +117,11 @@
     }
 }
 
-/// What became of a command.
+/// The fold's decision on a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Verdict {
-    /// It is in force from its place in the log on.
+    /// The command takes effect at its offset in the log.
     Accepted,
-    /// Something before it in the log forbids it.
+    /// The command has no effect, because of an earlier record.
     Refused,
 }
--- a/src/control/crash_suspects.rs
+++ b/src/control/crash_suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that were aboard when runners crashed, and runners that test them alone.
+//! Requests that were in flight when runners crashed, and runners isolated to run one alone.
 
 use super::Verdict;
 use crate::inventory::Name;
@@ -6,45 +6,46 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Runs of runners that one request may crash before it is refused.
+/// Number of distinct engine runs that a request crashes before it is refused.
 const MAX_CRASHES: usize = 2;
-/// How long a suspect is remembered, by the log's clock.
-const SUSPECT_KEPT_MS: u64 = 3_600_000;
-/// Suspects remembered at most; the oldest goes first.
+/// How long a suspect is remembered after its last crash, by the log's clock.
+const SUSPECT_RETENTION_MS: u64 = 3_600_000;
+/// Maximum number of suspects; the one with the oldest last crash is evicted first.
 const MAX_SUSPECTS: usize = 1_024;
 /// How long a runner stays isolated unless it is released, by the log's clock.
 const ISOLATION_MS: u64 = 5_000;
 
-/// What a writer asks for about suspects.
+/// A command about suspects and isolated runners.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) enum SuspectCommand {
-    /// Notes that a runner crashed with this request aboard.
+    /// Records that a runner crashed with this request in flight.
     Crashed {
         fingerprint: u64,
         runner: Name,
         boot: u64,
     },
-    /// Takes a runner for one suspect; nobody else sends it new requests.
+    /// Isolates a runner for one suspect; no VM sends it other new requests.
     Isolate { runner: Name },
-    /// Gives an isolated runner back.
+    /// Ends the isolation of a runner whose fence is `isolation`.
     Release { runner: Name, isolation: u64 },
-    /// Notes that the request ran where it would have crashed a runner.
+    /// Records that the request ran to where it would have crashed a runner, and did not; it is
+    /// no longer a suspect.
     Clear { fingerprint: u64 },
 }
 
-/// What is known of a request by its fingerprint.
+/// Status of a request, by its fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SuspectStatus {
-    /// No runner crashed with it aboard.
+    /// No runner is recorded to have crashed with the request in flight.
     Clear,
-    /// A runner crashed with it aboard; it may run alone.
+    /// A runner crashed with the request in flight; it may run only on an isolated runner.
     Suspect,
-    /// It has crashed as many runners as one request may.
+    /// The request reached the maximum number of crashes and is refused.
     Poison,
 }
 
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-struct Crashes {
+struct CrashRecord {
     runs: BTreeSet<(Name, u64)>,
     at_ms: u64,
 }
@@ -56,7 +57,7 @@
 }
 
 impl Isolation {
-    fn is_over(self, now_ms: u64) -> bool {
+    fn has_expired(self, now_ms: u64) -> bool {
         self.at_ms + ISOLATION_MS < now_ms
     }
 }
@@ -64,12 +65,12 @@
 /// The suspects and the isolated runners.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Suspects {
-    crashes: BTreeMap<u64, Crashes>,
+    crashes: BTreeMap<u64, CrashRecord>,
     isolations: BTreeMap<Name, Isolation>,
 }
 
 impl Suspects {
-    /// What is known of a request.
+    /// The status of the request with a fingerprint.
     pub(crate) fn standing(&self, fingerprint: u64) -> SuspectStatus {
         match self.crashes.get(&fingerprint) {
             None => SuspectStatus::Clear,
@@ -78,11 +79,11 @@
         }
     }
 
-    /// Whether a runner takes one suspect only, at a time of the platform's clock.
+    /// Whether a runner is isolated for one suspect at `now_ms` of the platform's clock.
     pub(crate) fn is_isolated(&self, runner: &str, now_ms: u64) -> bool {
         self.isolations
             .get(runner)
-            .is_some_and(|isolation| !isolation.is_over(now_ms))
+            .is_some_and(|isolation| !isolation.has_expired(now_ms))
     }
 
     pub(super) fn apply(&mut self, position: Position, command: SuspectCommand) -> Verdict {
@@ -95,13 +96,13 @@
                 let crashes = self.crashes.entry(fingerprint).or_default();
                 crashes.runs.insert((runner, boot));
                 crashes.at_ms = position.at_ms;
-                self.forget_old(position.at_ms);
+                self.evict_old(position.at_ms);
                 Verdict::Accepted
             }
             SuspectCommand::Isolate { runner } => self.isolate(position, runner),
             SuspectCommand::Release { runner, isolation } => {
-                let held = self.isolations.get(&runner);
-                if held.is_none_or(|held| held.fence != isolation) {
+                let current = self.isolations.get(&runner);
+                if current.is_none_or(|current| current.fence != isolation) {
                     return Verdict::Refused;
                 }
                 self.isolations.remove(&runner);
@@ -122,7 +123,7 @@
             return Verdict::Refused;
         }
         self.isolations
-            .retain(|_, isolation| !isolation.is_over(position.at_ms));
+            .retain(|_, isolation| !isolation.has_expired(position.at_ms));
         let isolation = Isolation {
             fence: position.fence,
             at_ms: position.at_ms,
@@ -131,11 +132,11 @@
         Verdict::Accepted
     }
 
-    fn forget_old(&mut self, now_ms: u64) {
+    fn evict_old(&mut self, now_ms: u64) {
         self.crashes
-            .retain(|_, crashes| crashes.at_ms + SUSPECT_KEPT_MS >= now_ms);
+            .retain(|_, crashes| crashes.at_ms + SUSPECT_RETENTION_MS >= now_ms);
         while self.crashes.len() > MAX_SUSPECTS {
-            let oldest = self.crashes.iter().min_by_key(|(_, it)| it.at_ms);
+            let oldest = self.crashes.iter().min_by_key(|(_, crashes)| crashes.at_ms);
             let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) else {
                 return;
             };
--- a/src/control/memory_ledger.rs
+++ b/src/control/memory_ledger.rs
@@ -1,10 +1,10 @@
-//! The book of one runner's accelerator memory.
+//! The ledger of one runner's accelerator memory.
 
 use super::{Artifact, HeldCopy, Outcome, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Where a copy stands between the order to load it and its memory being free.
+/// State of a copy, from the order to load it until its memory is free.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub(crate) enum CopyState {
     /// Ordered to load.
@@ -13,34 +13,35 @@
     Resident,
     /// Ordered to unload.
     Unloading,
-    /// Not loaded, but an old order to load it may still arrive.
+    /// Not loaded, but a delayed order to load it may still reach the runner.
     Reserved,
 }
 
-/// One artifact in a runner's memory.
+/// An artifact that takes memory of a runner, or may come to take it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Copy {
-    /// Memory it takes or may come to take.
+    /// Memory that the copy takes or is reserved for it, in MiB.
     pub(crate) mib: u64,
-    /// Where it stands.
+    /// State of the copy.
     pub(crate) state: CopyState,
-    /// The fence of its last order.
+    /// The fence of the last order about the copy.
     pub(crate) intent: u64,
-    /// The fence of the claim that its last order was given under.
+    /// The fence of the leadership claim under which that order was recorded.
     pub(crate) claim: u64,
-    /// Whether an old order to load it may still arrive.
+    /// Whether a delayed order to load the artifact may still reach the runner. When the copy
+    /// is freed, its memory then stays reserved.
     pub(crate) unclean: bool,
 }
 
-/// The fence of an order and that of its claim.
+/// The fence of an order, and the fence of the leadership claim it was recorded under.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Given {
+pub(super) struct OrderFences {
     pub(super) fence: u64,
     pub(super) claim: u64,
 }
 
-impl Given {
-    fn copy(self, mib: u64, state: CopyState, unclean: bool) -> Copy {
+impl OrderFences {
+    fn new_copy(self, mib: u64, state: CopyState, unclean: bool) -> Copy {
         Copy {
             mib,
             state,
@@ -51,19 +52,19 @@
     }
 }
 
-/// What one runner's memory holds or may come to hold.
+/// Every copy that takes or may come to take memory of one runner.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct MemoryLedger {
-    /// The run of the engine that the book is about.
+    /// The run of the engine that the ledger describes; 0 while none is known.
     pub(crate) boot: u64,
-    /// Whether the runner was recorded as not answering.
+    /// Whether the runner is recorded as not answering.
     pub(crate) down: bool,
-    /// Every artifact with memory set aside.
+    /// The copies by artifact.
     pub(crate) copies: BTreeMap<Artifact, Copy>,
 }
 
 impl MemoryLedger {
-    /// The book of a runner that was never given an order.
+    /// Creates the ledger of a runner for which nothing is recorded.
     pub(super) const fn new() -> Self {
         Self {
             boot: 0,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Memory taken, or set aside for orders that may still arrive.
+    /// Memory taken by copies or reserved for delayed orders, in MiB.
     pub(crate) fn taken_mib(&self) -> u64 {
         self.copies.values().map(|copy| copy.mib).sum()
     }
@@ -91,14 +92,14 @@
             .is_some_and(|copy| matches!(copy.state, CopyState::Loading | CopyState::Resident))
     }
 
-    /// Whether memory is set aside only for orders that may still arrive.
+    /// Whether any memory is reserved for delayed orders alone.
     pub(crate) fn has_reserved(&self) -> bool {
         self.copies
             .values()
             .any(|copy| copy.state == CopyState::Reserved)
     }
 
-    /// Orders to load that are not settled.
+    /// Number of load orders that are not settled.
     pub(crate) fn open_loads(&self) -> usize {
         self.copies
             .values()
@@ -106,7 +107,7 @@
             .count()
     }
 
-    /// Memory set aside for late orders to load this very artifact.
+    /// Memory reserved for delayed orders to load this artifact, in MiB.
     pub(crate) fn reserved_mib(&self, artifact: &Artifact) -> u64 {
         self.copies
             .get(artifact)
@@ -116,10 +117,10 @@
 
     pub(super) fn load(
         &mut self,
-        given: Given,
+        fences: OrderFences,
         artifact: &Artifact,
         mib: u64,
-        room_mib: u64,
+        capacity_mib: u64,
     ) -> Verdict {
         let unclean = match self.copies.get(artifact) {
             None => false,
@@ -127,20 +128,20 @@
             Some(_) => return Verdict::Refused,
         };
         let reserved_mib = self.reserved_mib(artifact);
-        // The late order may name another size than this one.
+        // The delayed order may name another size than this one.
         let mib = mib.max(reserved_mib);
-        if self.down || self.taken_mib() - reserved_mib + mib > room_mib {
+        if self.down || self.taken_mib() - reserved_mib + mib > capacity_mib {
             return Verdict::Refused;
         }
-        let copy = given.copy(mib, CopyState::Loading, unclean);
+        let copy = fences.new_copy(mib, CopyState::Loading, unclean);
         self.copies.insert(artifact.clone(), copy);
         Verdict::Accepted
     }
 
-    pub(super) fn unload(&mut self, given: Given, artifact: &Artifact) -> Verdict {
+    pub(super) fn unload(&mut self, fences: OrderFences, artifact: &Artifact) -> Verdict {
         match self.copies.get_mut(artifact) {
             Some(copy) if copy.state == CopyState::Resident => {
-                *copy = given.copy(copy.mib, CopyState::Unloading, copy.unclean);
+                *copy = fences.new_copy(copy.mib, CopyState::Unloading, copy.unclean);
                 Verdict::Accepted
             }
             _ => Verdict::Refused,
@@ -174,8 +175,8 @@
         Verdict::Accepted
     }
 
-    /// Enters what the engine holds though the book has no copy of it.
-    pub(super) fn adopt(&mut self, given: Given, held: &HeldCopy, boot: u64) -> Verdict {
+    /// Records a copy that the engine holds, where the ledger has none or only reserves memory.
+    pub(super) fn adopt(&mut self, fences: OrderFences, held: &HeldCopy, boot: u64) -> Verdict {
         if self.boot != boot {
             return Verdict::Refused;
         }
@@ -186,12 +187,12 @@
             }
             Some(_) => return Verdict::Refused,
         };
-        let copy = given.copy(mib, held.state, unclean);
+        let copy = fences.new_copy(mib, held.state, unclean);
         self.copies.insert(held.artifact.clone(), copy);
         Verdict::Accepted
     }
 
-    /// The engine does not hold a copy any more that it held before.
+    /// Removes a resident copy that the engine no longer holds.
     pub(super) fn lose(&mut self, artifact: &Artifact, boot: u64) -> Verdict {
         if self.boot != boot || !self.is_resident(artifact) {
             return Verdict::Refused;
@@ -200,22 +201,23 @@
         Verdict::Accepted
     }
 
-    /// The runner does not answer: its orders are given up, but may still arrive.
+    /// Marks a runner that does not answer as down. Its open loads are abandoned, with their
+    /// memory reserved since the orders may still reach it.
     pub(super) fn mark_down(&mut self) -> Verdict {
         if self.down || self.boot == 0 {
             return Verdict::Refused;
         }
         self.down = true;
-        self.give_up_loads();
+        self.abandon_loads();
         Verdict::Accepted
     }
 
-    /// Begins anew with what the engine holds after a start or a silence.
+    /// Rebuilds the ledger from what the engine holds, after it restarted or answers again.
     ///
-    /// `fenced` says that no order from before can arrive any more.
+    /// `fenced` says that the engine refuses all earlier orders.
     pub(super) fn reset(
         &mut self,
-        given: Given,
+        fences: OrderFences,
         boot: u64,
         fenced: bool,
         held: &[HeldCopy],
@@ -229,24 +231,24 @@
         if fenced {
             self.copies.clear();
         } else if restarted {
-            self.free_loaded();
+            self.free_all_but_loading();
         }
         for held in held {
-            // A copy with an open order is followed by that order.
-            let _ = self.adopt(given, held, boot);
+            // Refused for copies in the ledger already: the order that is open settles them.
+            let _ = self.adopt(fences, held, boot);
         }
         Verdict::Accepted
     }
 
-    /// Keeps only what late orders may still take, for a runner that is not listed any more.
+    /// Keeps only the memory reserved for delayed orders, once the runner left the inventory.
     pub(super) fn retire(&mut self) {
-        self.give_up_loads();
-        self.free_loaded();
+        self.abandon_loads();
+        self.free_all_but_loading();
         self.boot = 0;
         self.down = false;
     }
 
-    fn give_up_loads(&mut self) {
+    fn abandon_loads(&mut self) {
         let loading = |copy: &&mut Copy| copy.state == CopyState::Loading;
         for copy in self.copies.values_mut().filter(loading) {
             copy.state = CopyState::Reserved;
@@ -254,7 +256,7 @@
         }
     }
 
-    fn free_loaded(&mut self) {
+    fn free_all_but_loading(&mut self) {
         let loaded: Vec<Artifact> = self
             .copies
             .iter()
@@ -266,7 +268,7 @@
         }
     }
 
-    /// Frees the memory of a copy, unless an old order may still arrive.
+    /// Frees the memory of a copy, or keeps it reserved if a delayed order may still arrive.
     fn free(&mut self, artifact: &Artifact) {
         match self.copies.get_mut(artifact) {
             Some(copy) if copy.unclean => copy.state = CopyState::Reserved,
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control stream: configuration, claims, orders to engines and suspects.
+//! The control stream: configuration, leadership claims, orders to engines and crash suspects.
 //!
-//! Every VM folds the same records in the same order. What the fold refuses
-//! never happened; so memory is never overcommitted by any writer's mistake.
+//! Every VM folds the same records in the same order. A command that the fold refuses has no
+//! effect, so that no writer's mistake can overcommit a runner's memory.
 
 mod artifact;
 mod command;
@@ -17,53 +17,53 @@
 
 use crate::inventory::{Inventory, Name};
 use crate::replica::{Fold, Position};
-use memory_ledger::Given;
+use memory_ledger::OrderFences;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::mem;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Loads that the weight store serves at full speed; no more are ever open.
+/// Maximum number of open loads: as many as the weight store serves at full speed.
 pub(crate) const MAX_OPEN_LOADS: usize = 6;
 
-/// Who plans a group of runners.
+/// The leadership of a group of runners.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Claim {
-    /// The VM that holds the claim.
+    /// Name of the VM that made the claim.
     pub(crate) vm: Name,
-    /// The run of the VM's process that holds it.
+    /// Writer name of the VM's process that made the claim, unique to one run of it.
     pub(crate) writer: Name,
-    /// The fence of the claim, which all orders under it repeat.
+    /// The fence of the claim, repeated by all commands recorded under it.
     pub(crate) fence: u64,
 }
 
 /// The folded state of the control stream.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Control {
-    /// The revision in force: the fence of the accepted publication, 0 for none.
+    /// The revision in force: the fence of the last accepted publication, 0 for none.
     pub(crate) revision: u64,
     /// The inventory in force.
     pub(crate) inventory: Rc<Inventory>,
-    /// The claim on each group of runners.
+    /// The current claim on each group of runners.
     pub(crate) claims: BTreeMap<Name, Claim>,
-    /// What each runner's memory holds or may come to hold.
+    /// The memory ledger of each runner, by name.
     #[serde(rename = "books")]
     pub(crate) ledgers: BTreeMap<Name, MemoryLedger>,
-    /// What late orders may still take at addresses that are not listed any more.
+    /// Ledgers of addresses that left the inventory, with memory reserved for delayed orders.
     pub(crate) retired: BTreeMap<SocketAddr, MemoryLedger>,
     /// Requests that may crash runners.
     pub(crate) suspects: Suspects,
 }
 
 impl Control {
-    /// The book of a runner, empty if nothing was ever ordered.
+    /// The memory ledger of a runner, empty if nothing is recorded for it.
     pub(crate) fn ledger(&self, runner: &str) -> &MemoryLedger {
         static EMPTY: MemoryLedger = MemoryLedger::new();
         self.ledgers.get(runner).unwrap_or(&EMPTY)
     }
 
-    /// The runners that answer and on which an artifact is resident.
+    /// The runners not marked down on which an artifact is resident.
     pub(crate) fn resident_on<'a>(
         &'a self,
         artifact: &'a Artifact,
@@ -74,7 +74,7 @@
             .map(|(runner, _)| runner)
     }
 
-    /// Loads that were ordered and are not settled.
+    /// Number of load orders on all runners that are not settled.
     pub(crate) fn open_loads(&self) -> usize {
         self.ledgers.values().map(MemoryLedger::open_loads).sum()
     }
@@ -84,13 +84,14 @@
             return Verdict::Refused;
         }
         self.revision = fence;
-        self.rebook(&inventory);
+        self.reassign_ledgers(&inventory);
         self.inventory = inventory;
         Verdict::Accepted
     }
 
-    /// Gives each runner the book of its address, under whatever name it had before.
-    fn rebook(&mut self, next: &Inventory) {
+    /// Assigns each runner of the new inventory the ledger of its address, even if it was
+    /// renamed, and retires the others.
+    fn reassign_ledgers(&mut self, next: &Inventory) {
         let mut by_address = mem::take(&mut self.retired);
         let mut ledgers = mem::take(&mut self.ledgers);
         for server in self.inventory.runners() {
@@ -118,13 +119,14 @@
         Verdict::Accepted
     }
 
-    fn holds(&self, writer: &Name, group: &Name, claim: u64) -> bool {
+    /// Whether `claim` is the current claim on the group and `writer` made it.
+    fn holds_claim(&self, writer: &Name, group: &Name, claim: u64) -> bool {
         self.claims
             .get(group)
-            .is_some_and(|held| held.fence == claim && held.writer == *writer)
+            .is_some_and(|current| current.fence == claim && current.writer == *writer)
     }
 
-    /// Whether unloading the copy would leave its model without a ready one.
+    /// Whether unloading the copy would leave a listed model or adapter without a ready copy.
     pub(crate) fn is_last_copy(&self, runner: &str, artifact: &Artifact) -> bool {
         let Some(model) = self.inventory.model(&artifact.model) else {
             return false;
@@ -135,7 +137,7 @@
             return false;
         }
         !self.ledgers.iter().any(|(name, ledger)| {
-            self.serves(name, ledger)
+            self.accepts_requests(name, ledger)
                 && ledger.copies.iter().any(|(other, copy)| {
                     copy.state == CopyState::Resident
                         && other.has_same_name(artifact)
@@ -144,13 +146,13 @@
         })
     }
 
-    /// Whether requests may go to the runner, as far as the log knows.
-    fn serves(&self, runner: &str, ledger: &MemoryLedger) -> bool {
+    /// Whether the runner may receive requests: it is listed, not leaving and not marked down.
+    fn accepts_requests(&self, runner: &str, ledger: &MemoryLedger) -> bool {
         let server = self.inventory.backend_server(runner);
         !ledger.down && server.is_some_and(|server| !server.leaving)
     }
 
-    /// Memory of an artifact that is listed in this version.
+    /// Memory of an artifact in MiB, if the inventory lists this version.
     fn weights_mib(&self, artifact: &Artifact) -> Option<u64> {
         let model = self.inventory.model(&artifact.model)?;
         let (version, mib) = match &artifact.adapter {
@@ -163,8 +165,8 @@
         (*version == artifact.version).then_some(mib)
     }
 
-    /// Allows a load by the inventory in force at this place, not by the writer's view of it.
-    fn load(&mut self, given: Given, runner: &Name, artifact: &Artifact) -> Verdict {
+    /// Checks a load against the inventory in force at its offset, not the writer's view.
+    fn load(&mut self, fences: OrderFences, runner: &Name, artifact: &Artifact) -> Verdict {
         let server = self.inventory.backend_server(runner);
         let Some(server) = server.filter(|server| !server.leaving) else {
             return Verdict::Refused;
@@ -175,14 +177,20 @@
         if self.open_loads() >= MAX_OPEN_LOADS {
             return Verdict::Refused;
         }
-        let room_mib = server.weights_room_mib();
+        let capacity_mib = server.weights_room_mib();
         let ledger = self.ledgers.entry(runner.clone()).or_default();
-        ledger.load(given, artifact, mib, room_mib)
+        ledger.load(fences, artifact, mib, capacity_mib)
     }
 
-    fn order(&mut self, given: Given, runner: &Name, command: &Command) -> Verdict {
+    /// Applies a command about one runner to its ledger.
+    fn apply_to_ledger(
+        &mut self,
+        fences: OrderFences,
+        runner: &Name,
+        command: &Command,
+    ) -> Verdict {
         match command {
-            Command::Load { artifact, .. } => return self.load(given, runner, artifact),
+            Command::Load { artifact, .. } => return self.load(fences, runner, artifact),
             Command::Unload { artifact, .. } if self.is_last_copy(runner, artifact) => {
                 return Verdict::Refused;
             }
@@ -190,7 +198,7 @@
         }
         let ledger = self.ledgers.entry(runner.clone()).or_default();
         match command {
-            Command::Unload { artifact, .. } => ledger.unload(given, artifact),
+            Command::Unload { artifact, .. } => ledger.unload(fences, artifact),
             Command::Settle {
                 artifact,
                 intent,
@@ -198,12 +206,12 @@
                 clean,
                 ..
             } => ledger.settle(artifact, *intent, *outcome, *clean),
-            Command::Adopt { held, boot, .. } => ledger.adopt(given, held, *boot),
+            Command::Adopt { held, boot, .. } => ledger.adopt(fences, held, *boot),
             Command::Lose { artifact, boot, .. } => ledger.lose(artifact, *boot),
             Command::MarkDown { .. } => ledger.mark_down(),
             Command::Reset {
                 boot, fenced, held, ..
-            } => ledger.reset(given, *boot, *fenced, held),
+            } => ledger.reset(fences, *boot, *fenced, held),
             Command::Fence { .. } => Verdict::Accepted,
             Command::Load { .. }
             | Command::Publish { .. }
@@ -213,7 +221,7 @@
         }
     }
 
-    /// Whether the runner is one of the group that the order's claim is about.
+    /// Whether the runner belongs to the group.
     fn is_in_group(&self, runner: &str, group: &str) -> bool {
         self.inventory
             .runners()
@@ -236,21 +244,21 @@
                 self.claim(position.fence, writer, group, vm, after)
             }
             Command::Suspect(command) => self.suspects.apply(position, command),
-            order => {
-                let Some((under, runner)) = order.under() else {
+            command => {
+                let Some((under, runner)) = command.claim_and_runner() else {
                     return Verdict::Refused;
                 };
-                if !self.holds(writer, &under.group, under.claim)
+                if !self.holds_claim(writer, &under.group, under.claim)
                     || !self.is_in_group(runner, &under.group)
                 {
                     return Verdict::Refused;
                 }
-                let given = Given {
+                let fences = OrderFences {
                     fence: position.fence,
                     claim: under.claim,
                 };
                 let runner = runner.clone();
-                self.order(given, &runner, &order)
+                self.apply_to_ledger(fences, &runner, &command)
             }
         }
     }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -1,4 +1,4 @@
-//! What a runner's book says of requests to come.
+//! Tests of which requests a runner's memory ledger is about to serve.
 
 use super::{Artifact, Copy, CopyState, MemoryLedger};
 use crate::router::Target;
@@ -22,7 +22,7 @@
     }
 }
 
-/// A book with the model resident, and its adapter in a state, if it is there at all.
+/// A ledger with the model resident and, if a state is given, the adapter in that state.
 fn ledger(adapter: Option<CopyState>) -> MemoryLedger {
     let mut ledger = MemoryLedger::default();
     let model = copy(CopyState::Resident);
@@ -34,7 +34,7 @@
 }
 
 #[googletest::test]
-fn a_model_without_the_adapter_asked_for_is_not_what_a_request_waits_for() {
+fn a_target_with_an_adapter_needs_both_model_and_adapter_resident_or_loading() {
     let target = Target {
         base: artifact(None),
         adapter: Some(artifact(Some("adapter"))),
