--- a/src/external/log.rs
+++ b/src/external/log.rs
@@ -1,9 +1,9 @@
-//! The platform's append-only log, over small HTTP/JSON calls.
+//! Client of the platform's append-only log, over HTTP and JSON.
 //!
-//! `POST /streams/{stream}/records` appends the body as one record and answers
-//! `{"offset": n}`. `GET /streams/{stream}/records?from=N&wait_ms=W` answers a
-//! page, held open until a record at `N` exists or `W` has passed. With `limit=L`
-//! a page has at most `L` records.
+//! `POST /streams/{stream}/records` appends the body as one record and returns
+//! `{"offset": n}`. `GET /streams/{stream}/records?from=N&wait_ms=W` is a long poll: it returns a
+//! page once a record at `N` exists or `W` has passed. With `limit=L` a page has at most `L`
+//! records.
 
 use hyper::StatusCode;
 use prometheus_client::metrics::counter::Counter;
@@ -13,41 +13,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an append may take before its outcome counts as unknown.
+/// Timeout of an append, after which its outcome is unknown.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How much longer than the asked wait a read may take.
-const READ_SLACK: Duration = Duration::from_millis(1_000);
+/// How much longer than its requested wait a read may take.
+const READ_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// Why a call to the log failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum LogError {
-    /// The log answered that it takes no more now, and did not do it.
+    /// The log is over its rate limit and did not carry out the call.
     Busy,
-    /// The log answered that it did not do it.
+    /// The call was not carried out: the log refused it, or no connection was made.
     Refused,
-    /// No answer came; an append may have taken effect.
+    /// No valid answer came; an append may have taken effect.
     Unanswered,
 }
 
 /// One record of a stream.
 #[derive(Debug, Deserialize)]
 pub(crate) struct LogRecord {
-    /// The place in the stream.
+    /// Offset of the record in its stream.
     pub(crate) offset: u64,
-    /// The log's clock at the append, in milliseconds since the epoch.
+    /// Time of the append by the log's clock, in milliseconds since the epoch.
     pub(crate) at_ms: u64,
-    /// The record as it was appended.
+    /// The record, as it was appended.
     pub(crate) data: Box<RawValue>,
 }
 
 /// Records of a stream in order, with the bounds of what the log holds.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Page {
-    /// The first offset that is still kept.
+    /// The first offset that the log still retains.
     pub(crate) first: u64,
     /// The offset that the next appended record will get.
     pub(crate) end: u64,
-    /// The records from the asked offset on, as many as fit a page.
+    /// The records from the requested offset on, as many as fit a page.
     pub(crate) records: Vec<LogRecord>,
 }
 
@@ -56,7 +56,7 @@
     /// Appends one record and returns its offset.
     fn append(&self, stream: &str, record: Vec<u8>) -> impl Future<Output = Result<u64, LogError>>;
 
-    /// Reads records from an offset on, waiting up to `wait` for the first.
+    /// Reads a page of records from an offset on, waiting up to `wait` for the first.
     fn read(
         &self,
         stream: &str,
@@ -64,15 +64,15 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Page, LogError>>;
 
-    /// Reads the record at an offset, if the log still keeps it.
+    /// Reads the record at an offset; `None` if the log does not hold it.
     fn read_one(
         &self,
         stream: &str,
         offset: u64,
     ) -> impl Future<Output = Result<Option<LogRecord>, LogError>>;
 
-    /// Leaves connections behind that may have gone silent.
-    fn renew(&self);
+    /// Replaces the pooled connections, which may be dead without an error.
+    fn reset_connections(&self);
 }
 
 /// The log over HTTP.
@@ -84,12 +84,12 @@
 }
 
 #[derive(Deserialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
 impl HttpLog {
-    /// A client of the log at `address` that counts the bytes of records.
+    /// Creates a client of the log at `address` that adds the bytes of bodies to `bytes`.
     pub(crate) fn new(address: SocketAddr, bytes: Counter) -> Self {
         Self {
             address,
@@ -108,24 +108,24 @@
 }
 
 fn new_client() -> cyper::Client {
-    cyper::Client::new().expect("a client without TLS needs nothing from outside")
+    cyper::Client::new().expect("creating an HTTP client without TLS does not fail")
 }
 
-/// Why a call that got no answer failed: without a connection nothing was sent.
-fn unanswered(error: &cyper::Error) -> LogError {
+/// Classifies a call that got no answer: without a connection nothing was sent.
+fn send_error(error: &cyper::Error) -> LogError {
     match error {
         cyper::Error::HyperClient(error) if error.is_connect() => LogError::Refused,
         _ => LogError::Unanswered,
     }
 }
 
-/// Whether an error status says that the log did nothing; others may come from in between.
+/// Whether a status says that the log did nothing; others may come from an intermediary.
 fn is_refusal(status: StatusCode) -> bool {
     status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE
 }
 
 impl LogService for HttpLog {
-    fn renew(&self) {
+    fn reset_connections(&self) {
         *self.client.borrow_mut() = new_client();
     }
 
@@ -139,7 +139,7 @@
                 .body(record)
                 .send()
                 .await
-                .map_err(|error| unanswered(&error))?;
+                .map_err(|error| send_error(&error))?;
             if response.status() == StatusCode::TOO_MANY_REQUESTS {
                 return Err(LogError::Busy);
             }
@@ -149,16 +149,16 @@
             if !response.status().is_success() {
                 return Err(LogError::Unanswered);
             }
-            let appended: Appended = response
+            let appended: AppendResponse = response
                 .json()
                 .await
-                .map_err(|_broken| LogError::Unanswered)?;
+                .map_err(|_error| LogError::Unanswered)?;
             Ok(appended.offset)
         };
         match compio::time::timeout(APPEND_TIMEOUT, call).await {
             Ok(outcome) => outcome,
             Err(_elapsed) => {
-                self.renew();
+                self.reset_connections();
                 Err(LogError::Unanswered)
             }
         }
@@ -167,12 +167,12 @@
     async fn read(&self, stream: &str, from: u64, wait: Duration) -> Result<Page, LogError> {
         let wait_ms = wait.as_millis();
         let url = format!("{}?from={from}&wait_ms={wait_ms}", self.url(stream));
-        self.read_page(url, wait + READ_SLACK).await
+        self.read_page(url, wait + READ_TIMEOUT_MARGIN).await
     }
 
     async fn read_one(&self, stream: &str, offset: u64) -> Result<Option<LogRecord>, LogError> {
         let url = format!("{}?from={offset}&wait_ms=0&limit=1", self.url(stream));
-        let page = self.read_page(url, READ_SLACK).await?;
+        let page = self.read_page(url, READ_TIMEOUT_MARGIN).await?;
         let mut records = page.records.into_iter();
         Ok(records.next().filter(|record| record.offset == offset))
     }
@@ -187,21 +187,21 @@
                 .map_err(|_bad_url| LogError::Refused)?
                 .send()
                 .await
-                .map_err(|_broken| LogError::Unanswered)?;
+                .map_err(|_error| LogError::Unanswered)?;
             if !response.status().is_success() {
                 return Err(LogError::Refused);
             }
             let body = response
                 .bytes()
                 .await
-                .map_err(|_broken| LogError::Unanswered)?;
+                .map_err(|_error| LogError::Unanswered)?;
             self.bytes.inc_by(body.len() as u64);
-            serde_json::from_slice(&body).map_err(|_garbled| LogError::Unanswered)
+            serde_json::from_slice(&body).map_err(|_malformed| LogError::Unanswered)
         };
         match compio::time::timeout(timeout, call).await {
             Ok(outcome) => outcome,
             Err(_elapsed) => {
-                self.renew();
+                self.reset_connections();
                 Err(LogError::Unanswered)
             }
         }
--- a/src/replay.rs
+++ b/src/replay.rs
@@ -1,10 +1,10 @@
-//! The control stream folded away from any VM: for operators who hold a copy of
-//! its records, and for checks of the fold itself.
+//! Offline replay of the control stream, for operators who have a copy of its records and for
+//! tests of the fold.
 
 use crate::control::{Control, Verdict};
 use crate::error::Fault;
 use crate::external::Page;
-use crate::replica::{Folded, Replica};
+use crate::replica::{FoldOutcome, Replica};
 use error_stack::{Report, ResultExt};
 use serde_json::{Value, json};
 
@@ -23,21 +23,22 @@
     replica: Replica<Control>,
 }
 
-/// What became of one command.
+/// The fold's decision on one command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CommandVerdict {
-    /// The command's fencing number.
+    /// The command's fencing token.
     pub fence: u64,
-    /// Whether it is in force from its place on.
+    /// Whether the command takes effect.
     pub accepted: bool,
 }
 
 impl Replay {
-    /// Folds one record; a repeat and a snapshot bring no verdicts.
+    /// Folds one record and returns the verdict of each command; none for other records and
+    /// repeats.
     ///
     /// # Errors
     ///
-    /// Fails when the record is not one of the control stream.
+    /// Fails when the record is not an envelope of the control stream.
     pub fn fold(
         &mut self,
         offset: u64,
@@ -48,26 +49,29 @@
             .replica
             .fold_record(offset, at_ms, data)
             .change_context(Fault::Settings)
-            .attach_with(|| format!("the record at offset {offset} cannot be read"))?;
-        let Folded::Commands { verdicts, .. } = folded else {
+            .attach_with(|| format!("the record at offset {offset} cannot be parsed"))?;
+        let FoldOutcome::Commands { verdicts, .. } = folded else {
             return Ok(Vec::new());
         };
-        let judge = |(position, verdict): (crate::replica::Position, Verdict)| CommandVerdict {
-            fence: position.fence,
-            accepted: verdict == Verdict::Accepted,
-        };
-        Ok(verdicts.into_iter().map(judge).collect())
+        let to_command_verdict =
+            |(position, verdict): (crate::replica::Position, Verdict)| CommandVerdict {
+                fence: position.fence,
+                accepted: verdict == Verdict::Accepted,
+            };
+        Ok(verdicts.into_iter().map(to_command_verdict).collect())
     }
 
-    /// Folds a page as the log answers it, from its first snapshot if records are missing.
+    /// Folds a page as the log returns it, from its first usable snapshot if earlier records are
+    /// missing.
     ///
     /// # Errors
     ///
-    /// Fails when the page or a record cannot be read, or nothing covers what is missing.
+    /// Fails when the page or a record cannot be parsed, or no snapshot covers the missing
+    /// records.
     pub fn fold_page(&mut self, page: &str) -> Result<(), Report<Fault>> {
         let page: Page = serde_json::from_str(page)
             .change_context(Fault::Settings)
-            .attach("the file is not a page of the log: first, end, records")?;
+            .attach("the file is not a page of the log with the fields first, end and records")?;
         if page.first > self.replica.next_offset() {
             let covered = page
                 .records
@@ -88,7 +92,7 @@
         Ok(())
     }
 
-    /// The folded state.
+    /// The next offset and the folded state, as JSON.
     pub fn state(&self) -> Value {
         json!({
             "next_offset": self.replica.next_offset(),
@@ -101,7 +105,8 @@
         String::from_utf8(self.replica.snapshot()).expect("JSON is UTF-8")
     }
 
-    /// Takes over a snapshot record that ends at or behind `first`; false if it is of no use.
+    /// Restores a snapshot record that ends at or after `first` and is not behind the folded state;
+    /// false if the record is not usable.
     pub fn restore(&mut self, first: u64, data: &str) -> bool {
         self.replica.restore(first, data)
     }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,36 +1,36 @@
-//! The state folded from a stream's records, without any input or output.
+//! A replica: the state folded from a stream's records, without I/O.
 
 use crate::inventory::Name;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Commands in one envelope at most; also the factor from offsets to fences.
+/// Maximum number of commands in an envelope; also the number of fences per offset.
 pub(crate) const MAX_BATCH: usize = 1_024;
-/// How long the sequence number of a silent writer is kept, in log time.
-const WRITER_KEPT_MS: u64 = 3_600_000;
-/// Writers known before those that are silent for long are dropped.
-const MANY_WRITERS: usize = 1_024;
+/// How long a writer's sequence number counts after its last envelope, by the log's clock.
+const WRITER_RETENTION_MS: u64 = 3_600_000;
+/// Number of known writers above which those past their retention are dropped.
+const WRITER_PRUNE_THRESHOLD: usize = 1_024;
 
-/// Where a command stands in the log.
+/// Position of a command in its stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Position {
-    /// Grows with every command of the stream: the fencing number.
+    /// The fencing token, which grows with every command of the stream.
     pub(crate) fence: u64,
-    /// The log's clock, in milliseconds since the epoch.
+    /// Time of the append by the log's clock, in milliseconds since the epoch.
     pub(crate) at_ms: u64,
 }
 
-/// State that is a function of a stream's records alone.
+/// A state machine whose state depends on a stream's records alone.
 pub(crate) trait Fold: Default + DeserializeOwned + Serialize + 'static {
-    /// What writers ask for.
+    /// A command, as writers append it.
     type Command: DeserializeOwned + Serialize + 'static;
-    /// What became of it.
+    /// The fold's decision on a command.
     type Verdict: Clone + 'static;
-    /// Whether records that the log has dropped count on without a snapshot.
+    /// Whether dropped records still matter, so that a reader may pass them only by a snapshot.
     const REQUIRES_SNAPSHOT: bool = true;
 
-    /// Applies one command; depends on nothing but state and arguments.
+    /// Applies one command; must depend on nothing but state and arguments.
     fn apply(&mut self, position: Position, writer: &Name, command: Self::Command)
     -> Self::Verdict;
 }
@@ -38,50 +38,50 @@
 /// A record of a stream.
 #[derive(Deserialize, Serialize)]
 pub(crate) enum Envelope<C, S> {
-    /// Commands of one writer, written together.
+    /// Commands of one writer, appended together.
     Commands {
         writer: Name,
         sequence: u64,
         commands: Vec<C>,
     },
-    /// The state up to an offset.
+    /// The folded state before the offset `read_to`.
     Snapshot {
         read_to: u64,
         writers: HashMap<Name, LastSeen>,
         state: S,
     },
-    /// Everything before was lost: every reader goes on from the empty state.
+    /// All earlier records were lost: every reader continues from the empty state.
     Restart {},
 }
 
-/// The last envelope of a writer.
+/// Sequence number and time of a writer's last envelope.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub(crate) struct LastSeen {
     sequence: u64,
     at_ms: u64,
 }
 
-/// What became of a record.
+/// Result of folding a record.
 #[derive(Debug)]
-pub(crate) enum Folded<V> {
-    /// Commands, with the verdict of each.
+pub(crate) enum FoldOutcome<V> {
+    /// An envelope of commands was applied.
     Commands {
-        /// Who wrote them.
+        /// Name of the writer.
         writer: Name,
-        /// The number of the envelope.
+        /// Sequence number of the envelope.
         sequence: u64,
-        /// The place and the verdict of each command.
+        /// Position and verdict of each command.
         verdicts: Vec<(Position, V)>,
     },
-    /// An envelope that was folded before, or outdated by its writer.
+    /// The envelope's sequence number is not above its writer's last one; it was not applied.
     Repeat,
-    /// A snapshot, which says nothing new to a reader that is past it.
+    /// A snapshot, which adds nothing to a state folded up to it.
     Snapshot,
-    /// The state is empty again.
+    /// The state was reset to the empty one.
     Restart,
 }
 
-/// A fold with what is needed to go on from it.
+/// A folded state, with the offset and the sequence numbers needed to continue it.
 #[derive(Debug, Default)]
 pub(crate) struct Replica<F: Fold> {
     /// The folded state.
@@ -96,7 +96,7 @@
         self.next_offset
     }
 
-    /// Goes on from an offset without what lies before it.
+    /// Continues from an offset, skipping the records before it.
     pub(crate) fn skip_to(&mut self, offset: u64) {
         self.next_offset = offset;
     }
@@ -106,7 +106,7 @@
         self.writers.get(writer).map(|last| last.sequence)
     }
 
-    /// Folds one record; the reader is past it even if it cannot be read.
+    /// Folds one record; the next offset advances even if the record cannot be parsed.
     ///
     /// # Errors
     ///
@@ -116,7 +116,7 @@
         offset: u64,
         at_ms: u64,
         data: &str,
-    ) -> Result<Folded<F::Verdict>, serde_json::Error> {
+    ) -> Result<FoldOutcome<F::Verdict>, serde_json::Error> {
         self.next_offset = offset + 1;
         match serde_json::from_str::<Envelope<F::Command, F>>(data)? {
             Envelope::Commands {
@@ -124,25 +124,25 @@
                 sequence,
                 commands,
             } => {
-                if !self.note_writer(&writer, sequence, at_ms) {
-                    return Ok(Folded::Repeat);
+                if !self.record_sequence(&writer, sequence, at_ms) {
+                    return Ok(FoldOutcome::Repeat);
                 }
                 let verdicts = self.apply_all(offset, at_ms, &writer, commands);
-                Ok(Folded::Commands {
+                Ok(FoldOutcome::Commands {
                     writer,
                     sequence,
                     verdicts,
                 })
             }
-            Envelope::Snapshot { .. } => Ok(Folded::Snapshot),
+            Envelope::Snapshot { .. } => Ok(FoldOutcome::Snapshot),
             Envelope::Restart {} => {
                 self.restart(offset);
-                Ok(Folded::Restart)
+                Ok(FoldOutcome::Restart)
             }
         }
     }
 
-    /// Begins with the empty state behind an offset.
+    /// Resets to the empty state, with the record after `offset` as the next.
     pub(crate) fn restart(&mut self, offset: u64) {
         *self = Self {
             next_offset: offset + 1,
@@ -150,17 +150,18 @@
         };
     }
 
-    /// The present state as a snapshot record.
+    /// The current state as a snapshot record.
     pub(crate) fn snapshot(&self) -> Vec<u8> {
         let envelope = Envelope::<F::Command, &F>::Snapshot {
             read_to: self.next_offset,
             writers: self.writers.clone(),
             state: &self.fold,
         };
-        serde_json::to_vec(&envelope).expect("state serializes")
+        serde_json::to_vec(&envelope).expect("the folded state serializes")
     }
 
-    /// Restores a snapshot that ends at or behind `first`, and not before this state.
+    /// Restores a snapshot that ends at or after `first` and is not behind this state; false if
+    /// it does not, or is no snapshot.
     pub(crate) fn restore(&mut self, first: u64, data: &str) -> bool {
         let Ok(Envelope::Snapshot {
             read_to,
@@ -181,20 +182,20 @@
         true
     }
 
-    /// Notes a writer's envelope; false for a repeat.
-    fn note_writer(&mut self, writer: &Name, sequence: u64, at_ms: u64) -> bool {
+    /// Records the sequence number of a writer's envelope; false for a repeat.
+    fn record_sequence(&mut self, writer: &Name, sequence: u64, at_ms: u64) -> bool {
         let last = self
             .writers
             .get(writer)
-            .filter(|last| last.at_ms + WRITER_KEPT_MS >= at_ms);
+            .filter(|last| last.at_ms + WRITER_RETENTION_MS >= at_ms);
         if last.is_some_and(|last| sequence <= last.sequence) {
             return false;
         }
         self.writers
             .insert(writer.clone(), LastSeen { sequence, at_ms });
-        if self.writers.len() > MANY_WRITERS {
+        if self.writers.len() > WRITER_PRUNE_THRESHOLD {
             self.writers
-                .retain(|_, last| last.at_ms + WRITER_KEPT_MS >= at_ms);
+                .retain(|_, last| last.at_ms + WRITER_RETENTION_MS >= at_ms);
         }
         true
     }
@@ -209,7 +210,7 @@
         let mut verdicts = Vec::with_capacity(commands.len());
         for (index, command) in commands.into_iter().enumerate() {
             let position = Position {
-                // Fence 0 is kept for "none".
+                // Fence 0 means "none".
                 fence: offset * MAX_BATCH as u64 + index as u64 + 1,
                 at_ms,
             };
