--- a/src/external/mod.rs
+++ b/src/external/mod.rs
@@ -1,4 +1,4 @@
-//! The services that the product's own deployment stands on, each behind one small trait.
+//! Clients of the platform services that a deployment depends on, each behind a trait.
 
 mod log;
 mod vm_list;
--- a/src/external/vm_list.rs
+++ b/src/external/vm_list.rs
@@ -1,33 +1,33 @@
-//! The platform's VM list: live and leaving VMs, with a lag.
+//! Client of the platform's VM list: live and leaving VMs, updated with a lag.
 //!
-//! `GET /vms` answers an array of [`ListedVm`].
+//! `GET /vms` returns a JSON array of [`ListedVm`].
 
 use crate::inventory::Name;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long the list may take to answer.
+/// Timeout of a fetch.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// One VM of the list: one of ours or a backend server's.
+/// An entry of the list: a VM of this system or of a backend server.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub(crate) struct ListedVm {
-    /// The VM's name; a backend server's is its name in the inventory.
+    /// Name of the VM; for a backend server, its name in the inventory.
     pub(crate) name: Name,
-    /// The peer address of one of our VMs; backend servers have none.
+    /// Address for messages from peers; backend servers have none.
     #[serde(default)]
     pub(crate) peer_address: Option<SocketAddr>,
-    /// Where it stands.
+    /// Availability zone of the VM.
     pub(crate) availability_zone: Name,
-    /// Whether it is leaving.
+    /// Whether the VM is leaving.
     #[serde(default)]
     pub(crate) leaving: bool,
 }
 
 /// A source of the list of VMs.
 pub(crate) trait VmList: 'static {
-    /// Fetches the list; `None` when it cannot be had now.
+    /// Fetches the list; `None` if the call fails.
     fn fetch(&self) -> impl Future<Output = Option<Vec<ListedVm>>>;
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl HttpVmList {
-    /// A client of the list at `address`.
+    /// Creates a client of the list at `address`.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self { address }
     }
@@ -47,8 +47,8 @@
 impl VmList for HttpVmList {
     async fn fetch(&self) -> Option<Vec<ListedVm>> {
         let call = async {
-            // A new client a call: the list is asked seldom, and a pooled
-            // connection may have gone silent since.
+            // A new client per call: fetches are rare, and a pooled connection may have died
+            // in between without an error.
             let response = cyper::Client::new()
                 .ok()?
                 .get(format!("http://{}/vms", self.address))
--- a/src/snapshot_writer.rs
+++ b/src/snapshot_writer.rs
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Snapshots written in the time that the log keeps a record.
+/// Number of snapshots per retention time of the log.
 const SNAPSHOTS_PER_RETENTION: u64 = 4;
-/// The time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between checks whether a snapshot is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The snapshot keeper of one VM; the first of the live VMs writes.
+/// Writes snapshots of the control stream; normally only the first live VM does.
 pub(crate) struct SnapshotWriter {
     control: Rc<ControlStream>,
     membership: Rc<Membership>,
@@ -21,7 +21,7 @@
 }
 
 impl SnapshotWriter {
-    /// A keeper for a log that keeps records for `retention_ms`.
+    /// Creates a writer for a log that retains records for `retention_ms`.
     pub(crate) fn new(kernel: &Kernel, retention_ms: u64) -> Self {
         Self {
             control: kernel.find(),
@@ -34,7 +34,7 @@
     /// Writes snapshots until the process ends.
     pub(crate) async fn run(self) {
         loop {
-            compio::time::sleep(LOOK_INTERVAL).await;
+            compio::time::sleep(CHECK_INTERVAL).await;
             if !self.is_due() {
                 continue;
             }
@@ -44,13 +44,14 @@
                     Event::SnapshotWritten,
                     format_args!("stream=control offset={}", self.control.next_offset()),
                 );
-                // The reader sees the snapshot a moment later.
+                // Lets the reader see the new snapshot before its age is checked again.
                 compio::time::sleep(self.interval / 8).await;
             }
         }
     }
 
-    /// A VM that is not the first writes as well, if the first is late.
+    /// Whether this VM has to write a snapshot. VMs other than the first wait twice as long, in
+    /// case the first does not write.
     fn is_due(&self) -> bool {
         if !self.control.is_writable() || self.control.next_offset() == 0 {
             return false;
