--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control stream: configuration, claims, orders to engines and suspects.
+//! The control stream: configuration, leadership claims, orders to engines and crash suspects.
 //!
-//! Every VM folds the same records in the same order. What the fold refuses
-//! never happened; so memory is never overcommitted by any writer's mistake.
+//! Every VM folds the same records in the same order. A command that the fold refuses has no
+//! effect, so that no writer's mistake can overcommit a runner's memory.
 
 mod artifact;
 mod command;
@@ -11,71 +11,72 @@
 mod tests;
 
 pub(crate) use artifact::Artifact;
-pub(crate) use command::{Command, Held, Outcome, Under, Verdict};
-pub(crate) use crash_suspects::{Standing, SuspectCommand, Suspects};
-pub(crate) use memory_ledger::{Copy, CopyState, RunnerBook};
+pub(crate) use command::{ClaimRef, Command, HeldCopy, Outcome, Verdict};
+pub(crate) use crash_suspects::{SuspectCommand, SuspectStatus, Suspects};
+pub(crate) use memory_ledger::{Copy, CopyState, MemoryLedger};
 
 use crate::inventory::{Inventory, Name};
 use crate::replica::{Fold, Position};
-use memory_ledger::Given;
+use memory_ledger::OrderFences;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::mem;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Loads that the weight store serves at full speed; no more are ever open.
+/// Maximum number of open loads: as many as the weight store serves at full speed.
 pub(crate) const MAX_OPEN_LOADS: usize = 6;
 
-/// Who plans a group of runners.
+/// The leadership of a group of runners.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Claim {
-    /// The VM that holds the claim.
+    /// Name of the VM that made the claim.
     pub(crate) vm: Name,
-    /// The run of the VM's process that holds it.
+    /// Writer name of the VM's process that made the claim, unique to one run of it.
     pub(crate) writer: Name,
-    /// The fence of the claim, which all orders under it repeat.
+    /// The fence of the claim, repeated by all commands recorded under it.
     pub(crate) fence: u64,
 }
 
 /// The folded state of the control stream.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Control {
-    /// The revision in force: the fence of the accepted publication, 0 for none.
+    /// The revision in force: the fence of the last accepted publication, 0 for none.
     pub(crate) revision: u64,
     /// The inventory in force.
     pub(crate) inventory: Rc<Inventory>,
-    /// The claim on each group of runners.
+    /// The current claim on each group of runners.
     pub(crate) claims: BTreeMap<Name, Claim>,
-    /// What each runner's memory holds or may come to hold.
-    pub(crate) books: BTreeMap<Name, RunnerBook>,
-    /// What late orders may still take at addresses that are not listed any more.
-    pub(crate) retired: BTreeMap<SocketAddr, RunnerBook>,
+    /// The memory ledger of each runner, by name.
+    #[serde(rename = "books")]
+    pub(crate) ledgers: BTreeMap<Name, MemoryLedger>,
+    /// Ledgers of addresses that left the inventory, with memory reserved for delayed orders.
+    pub(crate) retired: BTreeMap<SocketAddr, MemoryLedger>,
     /// Requests that may crash runners.
     pub(crate) suspects: Suspects,
 }
 
 impl Control {
-    /// The book of a runner, empty if nothing was ever ordered.
-    pub(crate) fn book(&self, runner: &str) -> &RunnerBook {
-        static EMPTY: RunnerBook = RunnerBook::new();
-        self.books.get(runner).unwrap_or(&EMPTY)
+    /// The memory ledger of a runner, empty if nothing is recorded for it.
+    pub(crate) fn ledger(&self, runner: &str) -> &MemoryLedger {
+        static EMPTY: MemoryLedger = MemoryLedger::new();
+        self.ledgers.get(runner).unwrap_or(&EMPTY)
     }
 
-    /// The runners that answer and on which an artifact is resident.
+    /// The runners not marked down on which an artifact is resident.
     pub(crate) fn resident_on<'a>(
         &'a self,
         artifact: &'a Artifact,
     ) -> impl Iterator<Item = &'a Name> {
-        self.books
+        self.ledgers
             .iter()
-            .filter(|(_, book)| !book.down && book.is_resident(artifact))
+            .filter(|(_, ledger)| !ledger.down && ledger.is_resident(artifact))
             .map(|(runner, _)| runner)
     }
 
-    /// Loads that were ordered and are not settled.
+    /// Number of load orders on all runners that are not settled.
     pub(crate) fn open_loads(&self) -> usize {
-        self.books.values().map(RunnerBook::open_loads).sum()
+        self.ledgers.values().map(MemoryLedger::open_loads).sum()
     }
 
     fn publish(&mut self, fence: u64, base: u64, inventory: Rc<Inventory>) -> Verdict {
@@ -83,27 +84,28 @@
             return Verdict::Refused;
         }
         self.revision = fence;
-        self.rebook(&inventory);
+        self.reassign_ledgers(&inventory);
         self.inventory = inventory;
         Verdict::Accepted
     }
 
-    /// Gives each runner the book of its address, under whatever name it had before.
-    fn rebook(&mut self, next: &Inventory) {
+    /// Assigns each runner of the new inventory the ledger of its address, even if it was
+    /// renamed, and retires the others.
+    fn reassign_ledgers(&mut self, next: &Inventory) {
         let mut by_address = mem::take(&mut self.retired);
-        let mut books = mem::take(&mut self.books);
+        let mut ledgers = mem::take(&mut self.ledgers);
         for server in self.inventory.runners() {
-            if let Some(book) = books.remove(&server.name) {
-                by_address.insert(server.address, book);
+            if let Some(ledger) = ledgers.remove(&server.name) {
+                by_address.insert(server.address, ledger);
             }
         }
         for server in next.runners() {
-            if let Some(book) = by_address.remove(&server.address) {
-                self.books.insert(server.name.clone(), book);
+            if let Some(ledger) = by_address.remove(&server.address) {
+                self.ledgers.insert(server.name.clone(), ledger);
             }
         }
-        by_address.values_mut().for_each(RunnerBook::retire);
-        by_address.retain(|_, book| !book.copies.is_empty());
+        by_address.values_mut().for_each(MemoryLedger::retire);
+        by_address.retain(|_, ledger| !ledger.copies.is_empty());
         self.retired = by_address;
     }
 
@@ -117,13 +119,14 @@
         Verdict::Accepted
     }
 
-    fn holds(&self, writer: &Name, group: &Name, claim: u64) -> bool {
+    /// Whether `claim` is the current claim on the group and `writer` made it.
+    fn holds_claim(&self, writer: &Name, group: &Name, claim: u64) -> bool {
         self.claims
             .get(group)
-            .is_some_and(|held| held.fence == claim && held.writer == *writer)
+            .is_some_and(|current| current.fence == claim && current.writer == *writer)
     }
 
-    /// Whether unloading the copy would leave its model without a ready one.
+    /// Whether unloading the copy would leave a listed model or adapter without a ready copy.
     pub(crate) fn is_last_copy(&self, runner: &str, artifact: &Artifact) -> bool {
         let Some(model) = self.inventory.model(&artifact.model) else {
             return false;
@@ -133,23 +136,23 @@
         {
             return false;
         }
-        !self.books.iter().any(|(name, book)| {
-            self.serves(name, book)
-                && book.copies.iter().any(|(other, copy)| {
+        !self.ledgers.iter().any(|(name, ledger)| {
+            self.accepts_requests(name, ledger)
+                && ledger.copies.iter().any(|(other, copy)| {
                     copy.state == CopyState::Resident
-                        && other.serves_same(artifact)
+                        && other.has_same_name(artifact)
                         && !(name == runner && other == artifact)
                 })
         })
     }
 
-    /// Whether requests may go to the runner, as far as the log knows.
-    fn serves(&self, runner: &str, book: &RunnerBook) -> bool {
+    /// Whether the runner may receive requests: it is listed, not leaving and not marked down.
+    fn accepts_requests(&self, runner: &str, ledger: &MemoryLedger) -> bool {
         let server = self.inventory.backend_server(runner);
-        !book.down && server.is_some_and(|server| !server.leaving)
+        !ledger.down && server.is_some_and(|server| !server.leaving)
     }
 
-    /// Memory of an artifact that is listed in this version.
+    /// Memory of an artifact in MiB, if the inventory lists this version.
     fn weights_mib(&self, artifact: &Artifact) -> Option<u64> {
         let model = self.inventory.model(&artifact.model)?;
         let (version, mib) = match &artifact.adapter {
@@ -162,8 +165,8 @@
         (*version == artifact.version).then_some(mib)
     }
 
-    /// Allows a load by the inventory in force at this place, not by the writer's view of it.
-    fn load(&mut self, given: Given, runner: &Name, artifact: &Artifact) -> Verdict {
+    /// Checks a load against the inventory in force at its offset, not the writer's view.
+    fn load(&mut self, fences: OrderFences, runner: &Name, artifact: &Artifact) -> Verdict {
         let server = self.inventory.backend_server(runner);
         let Some(server) = server.filter(|server| !server.leaving) else {
             return Verdict::Refused;
@@ -174,35 +177,41 @@
         if self.open_loads() >= MAX_OPEN_LOADS {
             return Verdict::Refused;
         }
-        let room_mib = server.weights_room_mib();
-        let book = self.books.entry(runner.clone()).or_default();
-        book.load(given, artifact, mib, room_mib)
+        let capacity_mib = server.weights_room_mib();
+        let ledger = self.ledgers.entry(runner.clone()).or_default();
+        ledger.load(fences, artifact, mib, capacity_mib)
     }
 
-    fn order(&mut self, given: Given, runner: &Name, command: &Command) -> Verdict {
+    /// Applies a command about one runner to its ledger.
+    fn apply_to_ledger(
+        &mut self,
+        fences: OrderFences,
+        runner: &Name,
+        command: &Command,
+    ) -> Verdict {
         match command {
-            Command::Load { artifact, .. } => return self.load(given, runner, artifact),
+            Command::Load { artifact, .. } => return self.load(fences, runner, artifact),
             Command::Unload { artifact, .. } if self.is_last_copy(runner, artifact) => {
                 return Verdict::Refused;
             }
             _ => {}
         }
-        let book = self.books.entry(runner.clone()).or_default();
+        let ledger = self.ledgers.entry(runner.clone()).or_default();
         match command {
-            Command::Unload { artifact, .. } => book.unload(given, artifact),
+            Command::Unload { artifact, .. } => ledger.unload(fences, artifact),
             Command::Settle {
                 artifact,
                 intent,
                 outcome,
                 clean,
                 ..
-            } => book.settle(artifact, *intent, *outcome, *clean),
-            Command::Adopt { held, boot, .. } => book.adopt(given, held, *boot),
-            Command::Lose { artifact, boot, .. } => book.lose(artifact, *boot),
-            Command::MarkDown { .. } => book.mark_down(),
+            } => ledger.settle(artifact, *intent, *outcome, *clean),
+            Command::Adopt { held, boot, .. } => ledger.adopt(fences, held, *boot),
+            Command::Lose { artifact, boot, .. } => ledger.lose(artifact, *boot),
+            Command::MarkDown { .. } => ledger.mark_down(),
             Command::Reset {
                 boot, fenced, held, ..
-            } => book.reset(given, *boot, *fenced, held),
+            } => ledger.reset(fences, *boot, *fenced, held),
             Command::Fence { .. } => Verdict::Accepted,
             Command::Load { .. }
             | Command::Publish { .. }
@@ -212,7 +221,7 @@
         }
     }
 
-    /// Whether the runner is one of the group that the order's claim is about.
+    /// Whether the runner belongs to the group.
     fn is_in_group(&self, runner: &str, group: &str) -> bool {
         self.inventory
             .runners()
@@ -235,21 +244,21 @@
                 self.claim(position.fence, writer, group, vm, after)
             }
             Command::Suspect(command) => self.suspects.apply(position, command),
-            order => {
-                let Some((under, runner)) = order.under() else {
+            command => {
+                let Some((under, runner)) = command.claim_and_runner() else {
                     return Verdict::Refused;
                 };
-                if !self.holds(writer, &under.group, under.claim)
+                if !self.holds_claim(writer, &under.group, under.claim)
                     || !self.is_in_group(runner, &under.group)
                 {
                     return Verdict::Refused;
                 }
-                let given = Given {
+                let fences = OrderFences {
                     fence: position.fence,
                     claim: under.claim,
                 };
                 let runner = runner.clone();
-                self.order(given, &runner, &order)
+                self.apply_to_ledger(fences, &runner, &command)
             }
         }
     }
