--- a/src/callers/key.rs
+++ b/src/callers/key.rs
@@ -1,27 +1,27 @@
-//! The key by which a caller is known.
+//! The API key that identifies a caller.
 
 use secrecy::{ExposeSecret, SecretSlice};
 use std::fmt;
 use std::rc::Rc;
 use subtle::ConstantTimeEq;
 
-/// A caller's key, which cannot be printed or serialized.
+/// An API key. Its bytes are left out of `Debug` output and cannot be serialized.
 #[derive(Clone)]
 pub(crate) struct ApiKey(Rc<SecretSlice<u8>>);
 
 impl ApiKey {
-    /// A key of these bytes.
+    /// Creates a key from its bytes.
     pub(crate) fn new(bytes: &[u8]) -> Self {
         Self(Rc::new(SecretSlice::from(bytes.to_vec())))
     }
 
-    /// The bytes, for a hash and a comparison.
+    /// Returns the bytes, for hashing and comparison.
     pub(super) fn bytes(&self) -> &[u8] {
         self.0.expose_secret()
     }
 
-    /// Whether two keys are the same; takes equally long for all keys of a length.
-    pub(super) fn is(&self, other: &Self) -> bool {
+    /// Returns whether two keys are equal, in constant time for keys of the same length.
+    pub(super) fn equals(&self, other: &Self) -> bool {
         self.bytes().ct_eq(other.bytes()).into()
     }
 }
--- a/src/callers/ledger.rs
+++ b/src/callers/ledger.rs
@@ -1,286 +1,294 @@
-//! Whether a request is within its organisation's quota, over all VMs, without asking any.
+//! Enforces quotas over all VMs without contacting another VM per request.
 //!
-//! Each VM tells what it granted of late, and admits by the sum of what all tell. What is spent
-//! unseen, while messages are under way, is made up for by what is granted after; the margin that
-//! the deployment allows above quotas covers it meanwhile. VMs that are not heard are left their
-//! even part of each quota, so that the parts of a divided fleet together keep to it.
+//! Each VM reports the amounts that it recently granted, and admits requests by the sum over all
+//! reports. Grants that other VMs do not know of yet, because the reports are still in flight, are
+//! compensated for by granting less later; until then, the margin that the deployment allows above
+//! quotas covers them. An even share of each quota is left to the VMs that do not report, so that
+//! the partitions of a divided network together stay within the quota.
 
-use crate::callers::peer_usage::Told;
-use crate::callers::quota_estimate::Outlook;
-use crate::callers::usage::{History, Usage};
-use crate::callers::{Organisation, Quota, QuotaBounds, Tally};
+use crate::callers::peer_usage::PeerUsage;
+use crate::callers::quota_estimate::QuotaEstimate;
+use crate::callers::usage::{Usage, UsageHistory};
+use crate::callers::{Organisation, Quota, QuotaBounds, UsageReport};
 use crate::inventory::Name;
 use crate::short_id::short_id;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How old a telling is beyond its time at this VM: the way of messages over a loaded link, and
-/// the sender's own view of its zone.
+/// The age of reported figures when a report is received: the delay of messages on a loaded link,
+/// and the age of the sender's own view of its zone.
 const MIN_LAG: Duration = Duration::from_millis(600);
-/// For how long an organisation that was granted nothing of late is told of, so that others do not
-/// go on counting what they heard last.
-const TELL_EMPTY_FOR: Duration = Duration::from_millis(5_000);
-/// How long the telling that covers most VMs of a zone goes before others of it.
-const PREFERRED_FOR: Duration = Duration::from_millis(500);
+/// The time beyond the window for which an organisation without recent requests is still reported,
+/// so that other VMs do not continue to count the amounts that they received last.
+const REPORT_IDLE_FOR: Duration = Duration::from_millis(5_000);
+/// The time for which a zone's report is not replaced by one that covers fewer VMs.
+const WIDEST_REPORT_HOLD: Duration = Duration::from_millis(500);
 
-/// What one organisation was granted at this VM.
+/// The amounts that this VM granted to one organisation.
 #[derive(Debug)]
 struct Account {
     quota: Quota,
-    /// When it was asked for last.
-    asked_at: Instant,
-    history: History,
+    /// The time of the organisation's last request, granted or not.
+    last_request_at: Instant,
+    history: UsageHistory,
 }
 
-/// An amount that was granted.
+/// A granted amount, kept so that it can be refunded.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Granted {
+pub(crate) struct GrantRecord {
     organisation: Name,
     amount: f64,
-    at: Instant,
+    granted_at: Instant,
 }
 
-/// What a decision rested on, for its log line.
+/// The figures behind a refusal, for its log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Standing {
-    /// What the request counts as.
+pub(crate) struct QuotaCheck {
+    /// The amount that the request counts as.
     pub(crate) amount: f64,
-    /// What is left of the quota for this part of the fleet; below 0 after too much was granted.
-    pub(crate) left: f64,
-    /// What was asked for a second, at all VMs that are heard.
-    pub(crate) asked_per_s: f64,
-    /// The part of the fleet that is heard, this VM included.
-    pub(crate) heard_share: f64,
+    /// The remaining quota of the VMs that report; negative after too much was granted.
+    pub(crate) remaining: f64,
+    /// The amount requested per second at all VMs that report.
+    pub(crate) requested_per_s: f64,
+    /// The share of the fleet's VMs that report, this VM included.
+    pub(crate) reporting_share: f64,
 }
 
-/// A request that is beyond its organisation's quota.
+/// The refusal of a request that exceeds its organisation's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct OverQuota {
-    /// When the quota may allow it.
+    /// The time after which the quota may allow the request.
     pub(crate) retry_after: Duration,
-    /// What the decision rested on.
-    pub(crate) standing: Standing,
+    /// The figures behind the refusal.
+    pub(crate) check: QuotaCheck,
 }
 
-/// The grants of all VMs, as far as one VM knows.
+/// The grants of all VMs, as far as they are known at one VM.
 #[derive(Debug)]
 pub(crate) struct Ledger {
     bounds: QuotaBounds,
     started_at: Instant,
     accounts: HashMap<Name, Account>,
-    /// What each VM of the own zone tells of itself.
-    near: HashMap<SocketAddr, Told>,
-    /// What VMs of other zones tell of their whole zone.
-    far: HashMap<Name, Told>,
+    /// The last report of each VM in the local zone.
+    local_vms: HashMap<SocketAddr, PeerUsage>,
+    /// The last report on each remote zone.
+    remote_zones: HashMap<Name, PeerUsage>,
 }
 
 impl Ledger {
-    /// A ledger without any grant.
+    /// Creates a ledger without any grants.
     pub(crate) fn new(bounds: QuotaBounds, now: Instant) -> Self {
         Self {
             bounds,
             started_at: now,
             accounts: HashMap::new(),
-            near: HashMap::new(),
-            far: HashMap::new(),
+            local_vms: HashMap::new(),
+            remote_zones: HashMap::new(),
         }
     }
 
-    /// Grants a request, or tells when to come back. `vms` are all VMs of the fleet, heard or not;
-    /// `draw` from 0 to 1 decides who is served while more is asked for than the quota allows.
+    /// Grants a request, or refuses it with the time after which to retry; `None` if the
+    /// organisation has no quota. `vms` is the number of VMs in the fleet, whether they report or
+    /// not; `draw`, a random number from 0 to 1, selects the requests that are granted while demand
+    /// exceeds the quota.
     ///
     /// # Errors
     ///
-    /// Fails where the quota is spent.
-    pub(crate) fn take(
+    /// Fails if the quota is exhausted.
+    pub(crate) fn try_grant(
         &mut self,
         organisation: &Organisation,
         tokens: Option<f64>,
         vms: usize,
         draw: f64,
         now: Instant,
-    ) -> Result<Option<Granted>, OverQuota> {
+    ) -> Result<Option<GrantRecord>, OverQuota> {
         let Some(quota) = organisation.quota else {
             return Ok(None);
         };
         let amount = quota.amount(tokens);
         let window = self.bounds.window;
         let account = self.account(&organisation.name, quota, now);
-        account.asked_at = now;
-        account.history.note_asked(amount, now);
+        account.last_request_at = now;
+        account.history.record_request(amount, now);
         let mut usage = account.history.usage(window, now);
-        self.add_told(&mut usage, short_id(&organisation.name), now);
-        let (heard_vms, memory) = self.heard(now);
-        let outlook = Outlook {
+        self.add_peer_usage(&mut usage, short_id(&organisation.name), now);
+        let (reporting_vms, coverage) = self.reporting_vms(now);
+        let estimate = QuotaEstimate {
             quota,
             window,
             margin: self.margin(&quota),
             usage,
-            heard_share: (heard_vms / vms.max(1) as f64).min(1.0),
-            memory,
+            reporting_share: (reporting_vms / vms.max(1) as f64).min(1.0),
+            coverage,
             lag: self.lag(now),
         };
-        if !outlook.admits(amount, draw) {
+        if !estimate.admits(amount, draw) {
             return Err(OverQuota {
-                retry_after: outlook.wait(amount),
-                standing: Standing {
+                retry_after: estimate.retry_delay(amount),
+                check: QuotaCheck {
                     amount,
-                    left: outlook.left(),
-                    asked_per_s: outlook.asked_per_s(),
-                    heard_share: outlook.heard_share,
+                    remaining: estimate.remaining(),
+                    requested_per_s: estimate.requested_per_s(),
+                    reporting_share: estimate.reporting_share,
                 },
             });
         }
         let account = self.account(&organisation.name, quota, now);
-        account.history.note_granted(amount, now);
-        Ok(Some(Granted {
+        account.history.record_grant(amount, now);
+        Ok(Some(GrantRecord {
             organisation: organisation.name.clone(),
             amount,
-            at: now,
+            granted_at: now,
         }))
     }
 
-    /// Takes back a grant of a request that did not run.
-    pub(crate) fn take_back(&mut self, granted: &Granted) {
-        if let Some(account) = self.accounts.get_mut(&granted.organisation) {
-            account.history.take_back(granted.amount, granted.at);
+    /// Refunds the grant of a request that did not run.
+    pub(crate) fn refund(&mut self, grant: &GrantRecord) {
+        if let Some(account) = self.accounts.get_mut(&grant.organisation) {
+            account.history.refund(grant.amount, grant.granted_at);
         }
     }
 
+    /// Returns the account of an organisation; rescales it if the quota changed.
     fn account(&mut self, organisation: &Name, quota: Quota, now: Instant) -> &mut Account {
         let account = self
             .accounts
             .entry(organisation.clone())
             .or_insert_with(|| Account {
                 quota,
-                asked_at: now,
-                history: History::default(),
+                last_request_at: now,
+                history: UsageHistory::default(),
             });
         if account.quota != quota {
-            // What was granted under a higher quota is not held against the lower one.
-            let part = quota.rate_per_s / account.quota.rate_per_s;
-            account.history.scale(part.min(1.0));
+            // Scales past grants down, so that those made under a higher quota do not exhaust the
+            // lower one.
+            let factor = quota.rate_per_s / account.quota.rate_per_s;
+            account.history.scale(factor.min(1.0));
             account.quota = quota;
         }
         account
     }
 
-    /// What may be granted beyond a quota in a window.
+    /// Returns the amount that may be granted beyond a quota in a window.
     fn margin(&self, quota: &Quota) -> f64 {
         let whole = quota.rate_per_s * self.bounds.window.as_secs_f64() + quota.burst;
         self.bounds.overage * whole + self.bounds.slack
     }
 
-    /// Adds what other VMs told of an organisation.
-    fn add_told(&self, sum: &mut Usage, id: u32, now: Instant) {
-        for told in self.near.values().chain(self.far.values()) {
-            if let Some((part, usage)) = told.figures(id, self.bounds.window, now) {
-                sum.add(usage, part);
+    /// Adds the usage of an organisation that other VMs reported.
+    fn add_peer_usage(&self, sum: &mut Usage, id: u32, now: Instant) {
+        for peer in self.local_vms.values().chain(self.remote_zones.values()) {
+            if let Some((weight, usage)) = peer.figures(id, self.bounds.window, now) {
+                sum.add(usage, weight);
             }
         }
     }
 
-    /// How old what other VMs tell is by now.
+    /// Returns the average age of the reported figures, estimated from the reports of the local
+    /// zone.
     fn lag(&self, now: Instant) -> Duration {
-        let fresh = self.near.values().filter(|told| told.is_fresh(now));
-        let ages = fresh.map(|told| now.saturating_duration_since(told.at));
+        let fresh = self.local_vms.values().filter(|peer| peer.is_fresh(now));
+        let ages = fresh.map(|peer| now.saturating_duration_since(peer.received_at));
         let (count, sum) = ages.fold((0, Duration::ZERO), |(count, sum), age| {
             (count + 1, sum + age)
         });
         MIN_LAG + sum / count.max(1)
     }
 
-    /// The part of the window that this VM's process has lived through.
-    fn own_memory(&self, now: Instant) -> f64 {
+    /// Returns the share of the window for which this VM's process has been running.
+    fn vm_coverage(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.started_at);
         (age.as_secs_f64() / self.bounds.window.as_secs_f64()).min(1.0)
     }
 
-    /// How many VMs are heard, this one included, and which part of the window these remember.
-    fn heard(&self, now: Instant) -> (f64, f64) {
-        let told = self.near.values().chain(self.far.values());
-        let fresh = told.filter(|told| told.is_fresh(now));
-        let own = (1.0, self.own_memory(now));
-        let (vms, remembering_vms) = fresh.fold(own, |(vms, remembering_vms), told| {
-            let vms = vms + f64::from(told.vms);
-            (vms, remembering_vms + told.remembering_vms)
+    /// Returns the number of VMs that report, this one included, and the average share of the
+    /// window for which they have grants recorded.
+    fn reporting_vms(&self, now: Instant) -> (f64, f64) {
+        let peers = self.local_vms.values().chain(self.remote_zones.values());
+        let fresh = peers.filter(|peer| peer.is_fresh(now));
+        let own = (1.0, self.vm_coverage(now));
+        let (vms, remembering_vms) = fresh.fold(own, |(vms, remembering_vms), peer| {
+            let vms = vms + f64::from(peer.vms);
+            (vms, remembering_vms + peer.remembering_vms)
         });
         (vms, remembering_vms / vms)
     }
 
-    /// What this VM granted, to tell its zone.
-    pub(crate) fn own_tally(&mut self, now: Instant) -> Tally {
+    /// Returns the report on this VM's grants, for the VMs of its zone.
+    pub(crate) fn vm_report(&mut self, now: Instant) -> UsageReport {
         let window = self.bounds.window;
-        let remembering_vms = self.own_memory(now);
+        let remembering_vms = self.vm_coverage(now);
         let accounts = self.accounts.iter_mut();
-        let told = accounts.filter(|(_, account)| {
-            let age = now.saturating_duration_since(account.asked_at);
-            age < window + TELL_EMPTY_FOR
+        let reported = accounts.filter(|(_, account)| {
+            let age = now.saturating_duration_since(account.last_request_at);
+            age < window + REPORT_IDLE_FOR
         });
-        let usages = told.map(|(name, it)| (short_id(name), it.history.usage(window, now)));
-        Tally {
+        let usages = reported.map(|(name, it)| (short_id(name), it.history.usage(window, now)));
+        UsageReport {
             vms: 1,
             remembering_vms,
             usages: usages.collect(),
         }
     }
 
-    /// What this VM and its zone granted, to tell other zones.
-    pub(crate) fn zone_tally(&mut self, now: Instant) -> Tally {
-        let own = self.own_tally(now);
-        let fresh = || self.near.values().filter(|told| told.is_fresh(now));
-        let vms = own.vms + fresh().map(|told| told.vms).sum::<u32>();
-        let remembering = fresh().map(|told| told.remembering_vms).sum::<f64>();
-        let remembering_vms = own.remembering_vms + remembering;
+    /// Returns the report on the grants of this VM's whole zone, for the VMs of remote zones.
+    pub(crate) fn zone_report(&mut self, now: Instant) -> UsageReport {
+        let own = self.vm_report(now);
+        let fresh = || self.local_vms.values().filter(|peer| peer.is_fresh(now));
+        let vms = own.vms + fresh().map(|peer| peer.vms).sum::<u32>();
+        let reported = fresh().map(|peer| peer.remembering_vms).sum::<f64>();
+        let remembering_vms = own.remembering_vms + reported;
         let mut usages: HashMap<u32, Usage> = own.usages.into_iter().collect();
         let window = self.bounds.window;
-        for told in self.near.values() {
-            for id in told.usages.keys() {
-                if let Some((part, usage)) = told.figures(*id, window, now) {
-                    usages.entry(*id).or_default().add(usage, part);
+        for peer in self.local_vms.values() {
+            for id in peer.usages.keys() {
+                if let Some((weight, usage)) = peer.figures(*id, window, now) {
+                    usages.entry(*id).or_default().add(usage, weight);
                 }
             }
         }
-        Tally {
+        UsageReport {
             vms,
             remembering_vms,
             usages: usages.into_iter().collect(),
         }
     }
 
-    /// Takes over what a VM of the own zone tells of itself, and will tell again after `next_in`.
-    pub(crate) fn take_near(
+    /// Applies the report of a VM of the local zone, which will send the next one after `next_in`.
+    pub(crate) fn apply_vm_report(
         &mut self,
         sender: SocketAddr,
-        tally: Tally,
+        report: UsageReport,
         next_in: Duration,
         now: Instant,
     ) {
-        let told = self
-            .near
+        let peer = self
+            .local_vms
             .entry(sender)
-            .or_insert_with(|| Told::nothing(now));
-        told.take(tally, next_in, now);
+            .or_insert_with(|| PeerUsage::empty(now));
+        peer.apply(report, next_in, now);
     }
 
-    /// Takes over what a VM of another zone tells of that zone. A VM there that hears few others
-    /// does not stand for all that a better one told a moment ago.
-    pub(crate) fn take_far(&mut self, zone: &Name, tally: Tally, now: Instant) {
-        let told = self
-            .far
+    /// Applies a VM's report on its remote zone. A report that covers fewer VMs than the previous
+    /// one does not replace it within [`WIDEST_REPORT_HOLD`]: its sender receives reports from only
+    /// a part of the zone.
+    pub(crate) fn apply_zone_report(&mut self, zone: &Name, report: UsageReport, now: Instant) {
+        let peer = self
+            .remote_zones
             .entry(zone.clone())
-            .or_insert_with(|| Told::nothing(now));
-        let age = now.saturating_duration_since(told.at);
-        if tally.vms >= told.vms || age >= PREFERRED_FOR {
-            told.take(tally, Duration::ZERO, now);
+            .or_insert_with(|| PeerUsage::empty(now));
+        let age = now.saturating_duration_since(peer.received_at);
+        if report.vms >= peer.vms || age >= WIDEST_REPORT_HOLD {
+            peer.apply(report, Duration::ZERO, now);
         }
     }
 
-    /// Forgets what counts no more.
-    pub(crate) fn forget(&mut self, now: Instant) {
+    /// Drops reports that no longer count.
+    pub(crate) fn prune_expired(&mut self, now: Instant) {
         let window = self.bounds.window;
-        self.near.retain(|_, told| told.prune(window, now));
-        self.far.retain(|_, told| told.prune(window, now));
+        self.local_vms.retain(|_, peer| peer.prune(window, now));
+        self.remote_zones.retain(|_, peer| peer.prune(window, now));
     }
 }
--- a/src/callers/mod.rs
+++ b/src/callers/mod.rs
@@ -1,6 +1,6 @@
-//! Who sends requests: organisations, known by their callers' keys, and what each may ask for.
+//! Organisations: identification of callers by API key, and enforcement of quotas.
 //!
-//! Plain decisions without a network, whichever interface a request came by.
+//! The module does no I/O and does not depend on the interface that a request arrives at.
 
 mod key;
 mod ledger;
@@ -15,9 +15,9 @@
 mod usage;
 
 pub(crate) use key::ApiKey;
-pub(crate) use ledger::{Granted, Ledger, OverQuota};
+pub(crate) use ledger::{GrantRecord, Ledger, OverQuota};
 pub(crate) use organisation::Organisation;
 pub(crate) use quota::{Measure, Quota, QuotaBounds};
-pub(crate) use register::Register;
-pub(crate) use tally::Tally;
-pub(crate) use usage::{SPANS, Usage};
+pub(crate) use register::ApiKeyIndex;
+pub(crate) use tally::UsageReport;
+pub(crate) use usage::{SPAN_COUNT, Usage};
--- a/src/callers/organisation.rs
+++ b/src/callers/organisation.rs
@@ -6,10 +6,11 @@
 /// An organisation whose callers send requests.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Organisation {
-    /// Its name.
+    /// The name of the organisation.
     pub(crate) name: Name,
-    /// The rank of its requests where it goes before the route's; 0 is the most urgent.
+    /// The priority of the organisation's requests, which overrides the priority of the route; 0 is
+    /// the most urgent.
     pub(crate) priority: Option<u32>,
-    /// What it may ask for over all VMs; `None` for any amount.
+    /// The quota over all VMs; `None` for no limit.
     pub(crate) quota: Option<Quota>,
 }
--- a/src/callers/peer_usage.rs
+++ b/src/callers/peer_usage.rs
@@ -1,53 +1,56 @@
-//! What others told of their grants.
+//! The usage that other VMs reported last.
 
-use crate::callers::Tally;
+use crate::callers::UsageReport;
 use crate::callers::usage::Usage;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a telling counts whole at least; an older one fades over the quota's window.
+/// The minimum time for which a report counts in full. After that its weight decreases linearly to
+/// zero over the quota window.
 const MIN_FRESH: Duration = Duration::from_millis(1_000);
-/// Tellings of a VM after which the one before counts whole no more, where it speaks seldom.
-const FRESH_TELLINGS: f64 = 2.5;
+/// The time for which a report counts in full, in report intervals of its sender, if that is longer
+/// than [`MIN_FRESH`].
+const FRESH_REPORTS: f64 = 2.5;
 
-/// What a VM, or a zone, told last, with the moment of each figure.
+/// The last report of a VM or a zone, with the time at which each figure was received.
 #[derive(Debug)]
-pub(super) struct Told {
-    pub(super) at: Instant,
-    /// How long a figure counts whole.
+pub(super) struct PeerUsage {
+    pub(super) received_at: Instant,
+    /// The time for which a figure counts in full.
     fresh_for: Duration,
     pub(super) vms: u32,
     pub(super) remembering_vms: f64,
     pub(super) usages: HashMap<u32, (Usage, Instant)>,
 }
 
-impl Told {
-    /// Whether its sender still counts as heard.
+impl PeerUsage {
+    /// Returns whether the last report is recent enough for its sender to count as reporting.
     pub(super) fn is_fresh(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < self.fresh_for
+        now.saturating_duration_since(self.received_at) < self.fresh_for
     }
 
-    /// The part of an organisation's figures that counts, and these.
+    /// Returns the usage of an organisation and the weight from 0 to 1 with which it counts; `None`
+    /// if there is none, or it no longer counts.
     pub(super) fn figures(&self, id: u32, window: Duration, now: Instant) -> Option<(f64, &Usage)> {
         let (usage, at) = self.usages.get(&id)?;
         let age = now.saturating_duration_since(*at);
-        let stale = age.saturating_sub(self.fresh_for);
-        let part = 1.0 - stale.as_secs_f64() / window.as_secs_f64();
-        (part > 0.0).then_some((part, usage))
+        let stale_for = age.saturating_sub(self.fresh_for);
+        let weight = 1.0 - stale_for.as_secs_f64() / window.as_secs_f64();
+        (weight > 0.0).then_some((weight, usage))
     }
 
-    /// Drops the figures that count no more; tells whether anything is left to wait for.
+    /// Drops expired figures, and returns whether the last report has not expired either.
     pub(super) fn prune(&mut self, window: Duration, now: Instant) -> bool {
         let limit = self.fresh_for + window;
-        let counts = |at: Instant| now.saturating_duration_since(at) < limit;
-        self.usages.retain(|_, (_, at)| counts(*at));
-        counts(self.at)
+        let is_current = |at: Instant| now.saturating_duration_since(at) < limit;
+        self.usages.retain(|_, (_, at)| is_current(*at));
+        is_current(self.received_at)
     }
 
-    /// Nothing told yet.
-    pub(super) fn nothing(now: Instant) -> Self {
+    /// Creates a state without any report.
+    pub(super) fn empty(now: Instant) -> Self {
         Self {
-            at: now,
+            received_at: now,
             fresh_for: MIN_FRESH,
             vms: 0,
             remembering_vms: 0.0,
@@ -55,13 +58,13 @@
         }
     }
 
-    /// Takes over a tally, whose sender will tell again after `next_in`.
-    pub(super) fn take(&mut self, tally: Tally, next_in: Duration, now: Instant) {
-        self.at = now;
-        self.fresh_for = MIN_FRESH.max(next_in.mul_f64(FRESH_TELLINGS));
-        self.vms = tally.vms;
-        self.remembering_vms = tally.remembering_vms;
-        let figures = tally.usages.into_iter();
+    /// Applies a report whose sender will send the next one after `next_in`.
+    pub(super) fn apply(&mut self, report: UsageReport, next_in: Duration, now: Instant) {
+        self.received_at = now;
+        self.fresh_for = MIN_FRESH.max(next_in.mul_f64(FRESH_REPORTS));
+        self.vms = report.vms;
+        self.remembering_vms = report.remembering_vms;
+        let figures = report.usages.into_iter();
         self.usages
             .extend(figures.map(|(id, usage)| (id, (usage, now))));
     }
--- a/src/callers/quota.rs
+++ b/src/callers/quota.rs
@@ -1,49 +1,49 @@
-//! What an organisation may ask for, and how exactly that is kept.
+//! Quotas of organisations, and how precisely they are enforced.
 
 use std::time::Duration;
 
-/// What requests are counted in.
+/// The unit in which a quota counts requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Measure {
     /// Each request counts as one.
     Requests,
-    /// A request counts as the tokens that it tells, those of its prompt and the most that may
-    /// be generated.
+    /// A request counts as the tokens that it declares: those of its prompt plus the maximum to be
+    /// generated.
     Tokens {
-        /// What a request counts as that tells none.
-        untold: f64,
+        /// The number of tokens charged for a request that declares none.
+        default_tokens: f64,
     },
 }
 
-/// What an organisation may ask for over all VMs together.
+/// The quota of an organisation, over all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Quota {
-    /// What is counted.
+    /// The unit in which requests are counted.
     pub(crate) measure: Measure,
-    /// The amount a second, on average.
+    /// The average amount per second.
     pub(crate) rate_per_s: f64,
-    /// The amount that may be asked for at once after a pause.
+    /// The amount that may be granted at once after a pause.
     pub(crate) burst: f64,
 }
 
 impl Quota {
-    /// What a request counts as that tells so many tokens, or none.
+    /// Returns the amount charged for a request that declares `tokens`, or none.
     pub(crate) fn amount(&self, tokens: Option<f64>) -> f64 {
         match self.measure {
             Measure::Requests => 1.0,
-            Measure::Tokens { untold } => tokens.unwrap_or(untold),
+            Measure::Tokens { default_tokens } => tokens.unwrap_or(default_tokens),
         }
     }
 }
 
-/// How exactly quotas are kept, over all VMs.
+/// How precisely quotas are enforced, over all VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct QuotaBounds {
-    /// The window over which grants are counted.
+    /// The sliding window over which grants are counted.
     pub(crate) window: Duration,
-    /// The part of what a window allows that may be granted beyond it.
+    /// The amount that may be granted beyond the quota of a window, as a fraction of that quota.
     pub(crate) overage: f64,
-    /// The amount that may be granted beyond that.
+    /// The absolute amount that may be granted on top of `overage`.
     pub(crate) slack: f64,
 }
 
--- a/src/callers/quota_estimate.rs
+++ b/src/callers/quota_estimate.rs
@@ -1,102 +1,105 @@
-//! What is left of one organisation's quota, as one VM knows it.
+//! The remaining quota of one organisation, as estimated by one VM.
 
 use crate::callers::Quota;
-use crate::callers::usage::{ASKED_SPAN, SPANS, Usage, spans};
+use crate::callers::usage::{REQUESTED_SPAN, SPAN_COUNT, Usage, spans};
 use std::time::Duration;
 
-/// The part of the margin above a quota that is granted; the rest covers what is granted unseen,
-/// while messages are under way.
-const MARGIN_SHARE: f64 = 0.3;
-/// The part of that rest that covers growth which was not told yet.
-const GROWTH_SHARE: f64 = 0.5;
-/// The time in which what is left of a quota may be spent, in lags: with less, VMs that learn late
-/// what others spent swing together between too much and too little.
-const SPEND_LAGS: f64 = 3.0;
+/// The share of the margin above a quota that may be granted. The rest is a reserve for grants of
+/// other VMs whose reports are still in flight.
+const GRANTABLE_MARGIN_SHARE: f64 = 0.3;
+/// The share of the reserve that covers growth of the grant rate which is not reported yet.
+const GROWTH_RESERVE_SHARE: f64 = 0.5;
+/// The time over which the remaining quota may be spent, in multiples of the lag. With less, all VMs
+/// learn too late what the others granted, and oscillate together between granting too much and too
+/// little.
+const SPEND_TIME_LAGS: f64 = 3.0;
 
-/// What one VM knows of an organisation's grants at all VMs.
+/// One VM's estimate of an organisation's grants at all VMs.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Outlook {
-    /// What the organisation may ask for.
+pub(super) struct QuotaEstimate {
+    /// The quota of the organisation.
     pub(super) quota: Quota,
     /// The window over which grants are counted.
     pub(super) window: Duration,
-    /// What may be granted beyond the quota in a window.
+    /// The amount that may be granted beyond the quota in a window.
     pub(super) margin: f64,
-    /// What was asked for and granted at all VMs that are heard.
+    /// The amounts requested and granted at all VMs that report.
     pub(super) usage: Usage,
-    /// The part of the fleet that is heard, this VM included.
-    pub(super) heard_share: f64,
-    /// The part of the window that the VMs heard remember: those that have started within it do
-    /// not know what was granted at their place before.
-    pub(super) memory: f64,
-    /// How old that knowledge is.
+    /// The share of the fleet's VMs that report, this VM included.
+    pub(super) reporting_share: f64,
+    /// The share of the window for which the VMs that report have grants recorded, on average: a VM
+    /// that started within the window does not know what it granted before.
+    pub(super) coverage: f64,
+    /// The average age of the reported figures.
     pub(super) lag: Duration,
 }
 
-impl Outlook {
-    /// The amount a second that the part of the fleet that is heard may grant.
+impl QuotaEstimate {
+    /// Returns the amount per second that the VMs that report may grant.
     fn rate_per_s(&self) -> f64 {
-        self.quota.rate_per_s * self.heard_share
+        self.quota.rate_per_s * self.reporting_share
     }
 
-    /// What was asked for a second.
-    pub(super) fn asked_per_s(&self) -> f64 {
-        self.usage.asked / ASKED_SPAN.as_secs_f64()
+    /// Returns the amount requested per second.
+    pub(super) fn requested_per_s(&self) -> f64 {
+        self.usage.asked / REQUESTED_SPAN.as_secs_f64()
     }
 
-    /// The margin of the part of the fleet that is heard, as far as its VMs remember what was
-    /// granted: the rest may be spent already.
-    fn sure_margin(&self) -> f64 {
-        self.margin * self.heard_share * self.memory
+    /// Returns the margin of the VMs that report, in proportion to the share of the window for which
+    /// they have grants recorded: the rest of the margin may be spent already.
+    fn usable_margin(&self) -> f64 {
+        self.margin * self.reporting_share * self.coverage
     }
 
-    /// The part of the margin that is not granted.
+    /// Returns the part of the margin that is kept back.
     fn reserve(&self) -> f64 {
-        (1.0 - MARGIN_SHARE) * self.sure_margin()
+        (1.0 - GRANTABLE_MARGIN_SHARE) * self.usable_margin()
     }
 
-    /// What may have been granted within the window and is forgotten: after a restart of all, the
-    /// whole quota of the window before.
-    fn forgotten(&self) -> f64 {
+    /// Returns the amount that may have been granted within the window without being recorded: after
+    /// a restart of all VMs, the whole quota of the window before.
+    fn unrecorded(&self) -> f64 {
         let whole = self.rate_per_s() * self.window.as_secs_f64();
-        (whole + self.quota.burst * self.heard_share) * (1.0 - self.memory)
+        (whole + self.quota.burst * self.reporting_share) * (1.0 - self.coverage)
     }
 
-    /// What is left for the part of the fleet that is heard: as much as each span allows, and not
-    /// more than is allowed at once.
-    pub(super) fn left(&self) -> f64 {
-        let burst = self.quota.burst * self.heard_share;
-        let at_once = burst + MARGIN_SHARE * self.sure_margin();
+    /// Returns the remaining quota of the VMs that report: the minimum over all spans, and at most
+    /// the amount that may be granted at once.
+    pub(super) fn remaining(&self) -> f64 {
+        let burst = self.quota.burst * self.reporting_share;
+        let at_once = burst + GRANTABLE_MARGIN_SHARE * self.usable_margin();
         let spans = spans(self.window).map(|span| span.as_secs_f64());
         let mut granted = self.usage.granted;
-        granted[SPANS - 1] += self.forgotten();
+        granted[SPAN_COUNT - 1] += self.unrecorded();
         let newest_per_s = granted[0] / spans[0];
-        let lefts = spans.iter().zip(granted).map(|(span_s, granted)| {
-            // What is told was true a moment ago; where grants grow, the sum is above it by now.
+        let remaining_by_span = spans.iter().zip(granted).map(|(span_s, granted)| {
+            // Reported figures are out of date by the lag; while the grant rate grows, the current
+            // sum is higher.
             let growth_per_s = (newest_per_s - granted / span_s).max(0.0);
             let growth = growth_per_s * self.lag.as_secs_f64();
-            let unseen = (growth - GROWTH_SHARE * self.reserve()).max(0.0);
-            self.rate_per_s() * span_s + at_once - granted - unseen
+            let unreported = (growth - GROWTH_RESERVE_SHARE * self.reserve()).max(0.0);
+            self.rate_per_s() * span_s + at_once - granted - unreported
         });
-        lefts.fold(at_once, f64::min)
+        remaining_by_span.fold(at_once, f64::min)
     }
 
-    /// Whether an amount is granted. Where more is asked for than may be spent, `draw` from 0 to 1
-    /// decides, so that all VMs grant the same part of it.
+    /// Returns whether an amount is granted. While demand exceeds what may be spent, `draw`, a random
+    /// number from 0 to 1, decides, so that all VMs grant the same share of their requests.
     pub(super) fn admits(&self, amount: f64, draw: f64) -> bool {
-        let left = self.left();
+        let remaining = self.remaining();
         let lag_s = self.lag.as_secs_f64();
-        // What little is asked for until others hear of it is covered.
-        let is_covered = self.asked_per_s() * lag_s <= self.reserve();
-        let spendable_per_s = left / (lag_s * SPEND_LAGS) + self.rate_per_s();
-        amount <= left && (is_covered || draw * self.asked_per_s() <= spendable_per_s)
+        // The reserve covers demand that is too low to exceed it before other VMs learn of it.
+        let is_covered = self.requested_per_s() * lag_s <= self.reserve();
+        let spendable_per_s = remaining / (lag_s * SPEND_TIME_LAGS) + self.rate_per_s();
+        amount <= remaining && (is_covered || draw * self.requested_per_s() <= spendable_per_s)
     }
 
-    /// When to come back: once what is missing may be there, and not while the same rush goes on.
-    pub(super) fn wait(&self, amount: f64) -> Duration {
-        let missing = (amount - self.left()).max(0.0);
+    /// Returns the time after which to retry: when the missing amount may be available again, and no
+    /// sooner than the current burst of requests is over.
+    pub(super) fn retry_delay(&self, amount: f64) -> Duration {
+        let missing = (amount - self.remaining()).max(0.0);
         let refill = Duration::try_from_secs_f64(missing / self.rate_per_s());
-        let rush = self.lag.mul_f64(SPEND_LAGS);
-        refill.unwrap_or(Duration::MAX).max(rush)
+        let min_delay = self.lag.mul_f64(SPEND_TIME_LAGS);
+        refill.unwrap_or(Duration::MAX).max(min_delay)
     }
 }
--- a/src/callers/register.rs
+++ b/src/callers/register.rs
@@ -1,4 +1,4 @@
-//! All organisations of one configuration, by their keys.
+//! An index of the organisations of one configuration by API key.
 
 use crate::callers::{ApiKey, Organisation};
 use crate::inventory::Name;
@@ -6,50 +6,51 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Organisations that list the same key.
+/// The organisations that are configured with the same key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct SharedKey {
-    /// The organisations, by name.
+    /// The names of the organisations.
     pub(crate) organisations: Vec<Name>,
 }
 
+/// A key and the organisations that are configured with it.
 #[derive(Debug)]
-struct Holder {
+struct KeyEntry {
     key: ApiKey,
-    /// Several where the configuration is wrong; the key is nobody's then.
+    /// More than one only if the configuration is wrong; the key then identifies none of them.
     organisations: Vec<Rc<Organisation>>,
 }
 
-/// All organisations of one configuration, by their keys.
+/// An index of the organisations of one configuration by API key.
 #[derive(Debug)]
-pub(crate) struct Register {
-    /// Drawn at random, so that callers cannot choose keys that share a hash.
+pub(crate) struct ApiKeyIndex {
+    /// The hash seed, random so that callers cannot craft keys with colliding hashes.
     seed: u64,
-    holders: HashMap<u64, Vec<Holder>>,
+    entries: HashMap<u64, Vec<KeyEntry>>,
 }
 
-impl Register {
-    /// A register of organisations with their keys.
+impl ApiKeyIndex {
+    /// Creates an index of organisations and their keys.
     pub(crate) fn new(organisations: Vec<(Organisation, Vec<ApiKey>)>) -> Self {
-        let mut register = Self {
+        let mut index = Self {
             seed: rand::random(),
-            holders: HashMap::new(),
+            entries: HashMap::new(),
         };
         for (organisation, keys) in organisations {
             let organisation = Rc::new(organisation);
             for key in keys {
-                register.add(key, &organisation);
+                index.add(key, &organisation);
             }
         }
-        register
+        index
     }
 
     fn add(&mut self, key: ApiKey, organisation: &Rc<Organisation>) {
         let hash = self.hash(&key);
-        let holders = self.holders.entry(hash).or_default();
-        match holders.iter_mut().find(|holder| holder.key.is(&key)) {
-            Some(holder) => holder.organisations.push(organisation.clone()),
-            None => holders.push(Holder {
+        let entries = self.entries.entry(hash).or_default();
+        match entries.iter_mut().find(|entry| entry.key.equals(&key)) {
+            Some(entry) => entry.organisations.push(organisation.clone()),
+            None => entries.push(KeyEntry {
                 key,
                 organisations: vec![organisation.clone()],
             }),
@@ -60,23 +61,23 @@
         xxh3_64_with_seed(key.bytes(), self.seed)
     }
 
-    /// The organisation that holds a key; `None` if none does, or several do.
+    /// Returns the organisation that holds a key; `None` if no organisation or more than one does.
     pub(crate) fn holder(&self, key: &ApiKey) -> Option<&Rc<Organisation>> {
-        let holders = self.holders.get(&self.hash(key))?;
-        let holder = holders.iter().find(|holder| holder.key.is(key))?;
-        match holder.organisations.as_slice() {
+        let entries = self.entries.get(&self.hash(key))?;
+        let entry = entries.iter().find(|entry| entry.key.equals(key))?;
+        match entry.organisations.as_slice() {
             [organisation] => Some(organisation),
             _ => None,
         }
     }
 
-    /// The keys that are listed more than once, by who lists them.
+    /// Returns an entry for each key that is listed more than once, sorted by organisation names.
     pub(crate) fn shared_keys(&self) -> Vec<SharedKey> {
-        let holders = self.holders.values().flatten();
-        let shared = holders.filter(|holder| holder.organisations.len() > 1);
+        let entries = self.entries.values().flatten();
+        let shared = entries.filter(|entry| entry.organisations.len() > 1);
         let mut shared: Vec<SharedKey> = shared
-            .map(|holder| {
-                let organisations = holder.organisations.iter();
+            .map(|entry| {
+                let organisations = entry.organisations.iter();
                 SharedKey {
                     organisations: organisations.map(|it| it.name.clone()).collect(),
                 }
--- a/src/callers/tally.rs
+++ b/src/callers/tally.rs
@@ -1,14 +1,15 @@
-//! What VMs tell each other of their grants.
+//! The report by which VMs share how much of each quota they granted.
 
 use crate::callers::usage::Usage;
 
-/// What one VM, or all of a zone, tell of the grants there.
+/// The amounts granted at one VM, or in a whole zone.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Tally {
-    /// How many VMs it sums up.
+pub(crate) struct UsageReport {
+    /// The number of VMs that the report covers.
     pub(crate) vms: u32,
-    /// How many of these remember the whole window; one that has started within it counts in part.
+    /// The number of these VMs that have grants recorded for the whole quota window. A VM that
+    /// started within the window counts as a fraction.
     pub(crate) remembering_vms: f64,
-    /// The usage by the organisation's [`short_id`].
+    /// The usage of each organisation, by the `short_id` of its name.
     pub(crate) usages: Vec<(u32, Usage)>,
 }
--- a/src/callers/tests/mod.rs
+++ b/src/callers/tests/mod.rs
@@ -1,3 +1,3 @@
-//! Tests of who is known and what is allowed, without a network.
+//! Tests of API keys, without a network.
 
 mod keys;
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration in force: routes, services and limits.
 
-use crate::callers::{ApiKey, Organisation, Register};
+use crate::callers::{ApiKey, ApiKeyIndex, Organisation};
 use crate::gateway::failure::Failure;
 use crate::gateway::fleet::holds;
 use crate::gateway::{Holding, Weights};
@@ -21,7 +21,7 @@
     /// What callers may send.
     pub(crate) limits: Limits,
     /// The organisations that may send; `None` where requests need no key.
-    pub(crate) organisations: Option<Rc<Register>>,
+    pub(crate) organisations: Option<Rc<ApiKeyIndex>>,
 }
 
 /// Where requests of one host and path prefix go, and how they may be handled.
@@ -177,7 +177,7 @@
     }
 
     /// With the organisations that may send.
-    pub(crate) fn with_organisations(mut self, organisations: Register) -> Self {
+    pub(crate) fn with_organisations(mut self, organisations: ApiKeyIndex) -> Self {
         self.organisations = Some(Rc::new(organisations));
         self
     }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -120,7 +120,7 @@
             let _ = compio::time::timeout(rest, urgent).await;
             let now = Instant::now();
             self.state.peers.forget_silent(now);
-            self.state.ledger.borrow_mut().forget(now);
+            self.state.ledger.borrow_mut().prune_expired(now);
         }
     }
 
@@ -142,7 +142,7 @@
         let turn = self.turn.get();
         self.turn.set(turn.wrapping_add(1));
         let next_in = INTERVAL * targets.local_rounds() as u32;
-        let own = self.tallies(|ledger| ledger.own_tally(now));
+        let own = self.tallies(|ledger| ledger.vm_report(now));
         let near = Digest {
             vms: zones_of(&sample, now),
             next_in_ms: next_in.as_millis() as u32,
@@ -184,7 +184,7 @@
 
     /// Tells VMs in other zones.
     async fn send_far(&self, mut digest: Digest, holdings: &[Digest], far: &[SocketAddr]) {
-        let tallies = self.tallies(|ledger| ledger.zone_tally(Instant::now()));
+        let tallies = self.tallies(|ledger| ledger.zone_report(Instant::now()));
         digest.tally = tallies.first().cloned();
         self.send_to(&digest, far).await;
         self.send_tallies(tallies.get(1..).unwrap_or_default(), INTERVAL, far)
--- a/src/gateway/grant.rs
+++ b/src/gateway/grant.rs
@@ -1,6 +1,6 @@
-//! A request's part of its organisation's quota, given back where the request does not run.
+//! A request's share of its organisation's quota, refunded if the request does not run.
 
-use crate::callers::{Granted, Organisation, OverQuota};
+use crate::callers::{GrantRecord, Organisation, OverQuota};
 use crate::gateway::CallerRequest;
 use crate::gateway::failure::Failure;
 use crate::gateway::state::State;
@@ -8,24 +8,26 @@
 use std::time::Instant;
 use tracing::info;
 
-/// A request's part of its organisation's quota; given back when dropped, unless it may have run.
+/// A request's share of its organisation's quota. Refunded on drop, unless the request may have
+/// run.
 #[derive(Debug)]
 pub(crate) struct Grant {
     state: Rc<State>,
-    granted: Granted,
-    /// Whether a server may run the request, or has.
+    record: GrantRecord,
+    /// Whether a server may be running the request or may have run it.
     pub(crate) may_have_run: bool,
 }
 
 impl Grant {
-    /// Takes a request's part of its organisation's quota; `None` where that has none.
+    /// Charges a request to its organisation's quota; `None` if there is no organisation, or it has
+    /// no quota.
     ///
     /// # Errors
     ///
-    /// Fails where the quota is spent.
+    /// Fails if the quota is exhausted.
     pub(crate) fn take(
         state: &Rc<State>,
-        ask: &CallerRequest,
+        request: &CallerRequest,
         organisation: Option<&Organisation>,
         now: Instant,
     ) -> Result<Option<Self>, Failure> {
@@ -33,19 +35,19 @@
             return Ok(None);
         };
         let vms = state.peers.fleet_size(now);
-        let tokens = ask.token_count();
+        let tokens = request.token_count();
         let mut ledger = state.ledger.borrow_mut();
-        match ledger.take(organisation, tokens, vms, rand::random(), now) {
-            Ok(granted) => {
+        match ledger.try_grant(organisation, tokens, vms, rand::random(), now) {
+            Ok(record) => {
                 let metrics = &state.metrics;
                 metrics.note_organisation(&organisation.name, "granted");
-                Ok(granted.map(|granted| Self {
+                Ok(record.map(|record| Self {
                     state: state.clone(),
-                    granted,
+                    record,
                     may_have_run: false,
                 }))
             }
-            Err(over) => Err(refuse(state, ask, organisation, vms, &over)),
+            Err(over) => Err(refuse(state, request, organisation, vms, &over)),
         }
     }
 }
@@ -53,29 +55,29 @@
 impl Drop for Grant {
     fn drop(&mut self) {
         if !self.may_have_run {
-            self.state.ledger.borrow_mut().take_back(&self.granted);
+            self.state.ledger.borrow_mut().refund(&self.record);
         }
     }
 }
 
-/// Tells why a request is beyond its organisation's quota.
+/// Logs and counts a request that exceeds its organisation's quota, and returns its failure.
 fn refuse(
     state: &State,
-    ask: &CallerRequest,
+    request: &CallerRequest,
     organisation: &Organisation,
     vms: usize,
     over: &OverQuota,
 ) -> Failure {
-    let standing = &over.standing;
+    let check = &over.check;
     let metrics = &state.metrics;
     metrics.note_organisation(&organisation.name, "over_quota");
     info!(
-        request = %ask.id,
+        request = %request.id,
         organisation = %organisation.name,
-        amount = standing.amount,
-        left = standing.left,
-        asked_per_s = standing.asked_per_s,
-        heard_share = standing.heard_share,
+        amount = check.amount,
+        left = check.remaining,
+        asked_per_s = check.requested_per_s,
+        heard_share = check.reporting_share,
         vms,
         "over quota"
     );
--- a/src/gateway/tests/quotas.rs
+++ b/src/gateway/tests/quotas.rs
@@ -1,6 +1,6 @@
 //! Quotas over many VMs: what is granted in all, and what is refused below the quota.
 
-use crate::callers::{Granted, Ledger, QuotaBounds};
+use crate::callers::{GrantRecord, Ledger, QuotaBounds};
 use crate::gateway::tests::quota_play::{BOUNDS, Load, Outcome, STEP, WARM_UP_S, play};
 use crate::gateway::tests::quota_ways::{Credits, EvenParts, Tellings, Way};
 use proptest::prelude::*;
@@ -116,13 +116,13 @@
     let mut ledger = Ledger::new(bounds, now);
     // What was granted before its start is forgotten by then.
     let now = now + BOUNDS.window;
-    let take = |ledger: &mut Ledger| -> Option<Granted> {
-        let taken = ledger.take(&organisation, Some(900.0), 1, 0.0, now);
+    let take = |ledger: &mut Ledger| -> Option<GrantRecord> {
+        let taken = ledger.try_grant(&organisation, Some(900.0), 1, 0.0, now);
         taken.ok().flatten()
     };
     let granted = take(&mut ledger).expect("it is within the quota");
     assert_eq!(take(&mut ledger), None);
-    ledger.take_back(&granted);
+    ledger.refund(&granted);
     assert!(take(&mut ledger).is_some());
 }
 
@@ -143,13 +143,13 @@
     let mut ledger = Ledger::new(bounds, now);
     for _ in 0..400 {
         now += STEP;
-        let taken = ledger.take(&high, Some(1_500.0), 1, 0.0, now);
+        let taken = ledger.try_grant(&high, Some(1_500.0), 1, 0.0, now);
         assert!(taken.is_ok());
     }
     let mut granted = 0.0;
     for _ in 0..400 {
         now += STEP;
-        if ledger.take(&low, Some(1_000.0), 1, 0.0, now).is_ok() {
+        if ledger.try_grant(&low, Some(1_000.0), 1, 0.0, now).is_ok() {
             granted += 1_000.0;
         }
     }
