--- a/src/callers/quota_estimate.rs
+++ b/src/callers/quota_estimate.rs
@@ -9,9 +9,9 @@
 const GRANTABLE_MARGIN_SHARE: f64 = 0.3;
 /// The share of the reserve that covers growth of the grant rate which is not reported yet.
 const GROWTH_RESERVE_SHARE: f64 = 0.5;
-/// The time over which the remaining quota may be spent, in multiples of the lag. With less, all VMs
-/// learn too late what the others granted, and oscillate together between granting too much and too
-/// little.
+/// The time over which the remaining quota may be spent, in multiples of the lag. With less, VMs
+/// learn too late what the others granted, and oscillate together between granting too much and
+/// too little.
 const SPEND_TIME_LAGS: f64 = 3.0;
 
 /// One VM's estimate of an organisation's grants at all VMs.
@@ -45,8 +45,8 @@
         self.usage.asked / REQUESTED_SPAN.as_secs_f64()
     }
 
-    /// Returns the margin of the VMs that report, in proportion to the share of the window for which
-    /// they have grants recorded: the rest of the margin may be spent already.
+    /// Returns the margin of the VMs that report, in proportion to the share of the window for
+    /// which they have grants recorded: the rest of the margin may be spent already.
     fn usable_margin(&self) -> f64 {
         self.margin * self.reporting_share * self.coverage
     }
@@ -56,8 +56,8 @@
         (1.0 - GRANTABLE_MARGIN_SHARE) * self.usable_margin()
     }
 
-    /// Returns the amount that may have been granted within the window without being recorded: after
-    /// a restart of all VMs, the whole quota of the window before.
+    /// Returns the amount that may have been granted within the window without being recorded:
+    /// after a restart of all VMs, the whole quota of the window before.
     fn unrecorded(&self) -> f64 {
         let whole = self.rate_per_s() * self.window.as_secs_f64();
         (whole + self.quota.burst * self.reporting_share) * (1.0 - self.coverage)
@@ -83,8 +83,8 @@
         remaining_by_span.fold(at_once, f64::min)
     }
 
-    /// Returns whether an amount is granted. While demand exceeds what may be spent, `draw`, a random
-    /// number from 0 to 1, decides, so that all VMs grant the same share of their requests.
+    /// Returns whether an amount is granted. While demand exceeds what may be spent, `draw`, a
+    /// random number from 0 to 1, decides, so that all VMs grant the same share of their requests.
     pub(super) fn admits(&self, amount: f64, draw: f64) -> bool {
         let remaining = self.remaining();
         let lag_s = self.lag.as_secs_f64();
@@ -94,8 +94,8 @@
         amount <= remaining && (is_covered || draw * self.requested_per_s() <= spendable_per_s)
     }
 
-    /// Returns the time after which to retry: when the missing amount may be available again, and no
-    /// sooner than the current burst of requests is over.
+    /// Returns the time after which to retry: when the missing amount may be available again, and
+    /// no sooner than the current burst of requests may be over.
     pub(super) fn retry_delay(&self, amount: f64) -> Duration {
         let missing = (amount - self.remaining()).max(0.0);
         let refill = Duration::try_from_secs_f64(missing / self.rate_per_s());
--- a/src/gateway/tests/quota_play.rs
+++ b/src/gateway/tests/quota_play.rs
@@ -1,66 +1,69 @@
-//! A play of one organisation's load on its quota, over VMs whose messages are late, lost or cut off.
+//! A simulation of one organisation's requests against its quota, on VMs whose messages are
+//! delayed, lost or blocked by a network partition.
 
 use crate::callers::{Measure, Organisation, Quota, QuotaBounds};
-use crate::gateway::tests::quota_ways::{Bucket, Way};
+use crate::gateway::tests::quota_ways::{QuotaScheme, TokenBucket};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// The time from one look at all VMs to the next.
+/// The length of a simulation step.
 pub(super) const STEP: Duration = Duration::from_millis(20);
-/// Steps from one turn of a VM to its next.
-const TURN_STEPS: u32 = 10;
-/// Bytes of an answer to a message.
-const ANSWER_BYTES: usize = 40;
+/// The number of steps between two gossip rounds of a VM.
+const ROUND_STEPS: u32 = 10;
+/// The size of a reply to a message, in bytes.
+const REPLY_BYTES: usize = 40;
 pub(super) const BOUNDS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(8),
     overage: 0.1,
     slack: 7_400.0,
 };
-/// When the first requests come: VMs hear each other before, and remember a window.
+/// The time of the first requests. By then the VMs receive each other's reports and have recorded a
+/// full window.
 pub(super) const WARM_UP_S: f64 = 8.0;
-/// Tokens of a request: the least, and the span above it.
+/// The tokens of a request: the minimum, and the width of the range above it.
 const AMOUNT: (f64, f64) = (300.0, 1_200.0);
 
-/// A load on the quota of one organisation.
+/// The requests of one organisation, and the conditions on the network and the VMs.
 #[derive(Clone, Debug)]
-pub(super) struct Load {
+pub(super) struct Scenario {
     pub(super) vms: usize,
     pub(super) rate_per_s: f64,
-    /// From which second on how many times the quota's rate is asked for.
-    pub(super) asked: Vec<(f64, f64)>,
-    /// Whether few VMs get most of it.
-    pub(super) is_lopsided: bool,
-    /// From and to which second the last part of the VMs hears nobody, and which part.
-    pub(super) cut: Option<(f64, f64, f64)>,
-    /// From and to which second no VM runs; all begin anew after it.
+    /// The demand as a multiple of the quota's rate, each with the second from which it applies.
+    pub(super) demand: Vec<(f64, f64)>,
+    /// Whether a few VMs receive most of the requests.
+    pub(super) is_skewed: bool,
+    /// A network partition that isolates the VMs with the highest indices from all others and from
+    /// each other: its start and end in seconds, and the share of the VMs that it isolates.
+    pub(super) partition: Option<(f64, f64, f64)>,
+    /// The start and end, in seconds, of an outage of all VMs. They start again without any state.
     pub(super) restart: Option<(f64, f64)>,
     pub(super) loss: f64,
-    pub(super) max_late: Duration,
-    pub(super) lasts_s: f64,
+    pub(super) max_delay: Duration,
+    pub(super) duration_s: f64,
     pub(super) seed: u64,
 }
 
-impl Load {
-    pub(super) fn calm(vms: usize) -> Self {
+impl Scenario {
+    pub(super) fn steady(vms: usize) -> Self {
         Self {
             vms,
             rate_per_s: 100_000.0,
-            asked: vec![(WARM_UP_S, 0.55)],
-            is_lopsided: false,
-            cut: None,
+            demand: vec![(WARM_UP_S, 0.55)],
+            is_skewed: false,
+            partition: None,
             restart: None,
             loss: 0.1,
-            max_late: Duration::from_millis(20),
-            lasts_s: 26.0,
+            max_delay: Duration::from_millis(20),
+            duration_s: 26.0,
             seed: 7,
         }
     }
 
-    pub(super) fn asked_x(&self, at_s: f64) -> f64 {
-        let begun = self.asked.iter().rev().find(|(from_s, _)| *from_s <= at_s);
-        begun.map_or(0.0, |(_, x)| *x)
+    pub(super) fn demand_factor(&self, at_s: f64) -> f64 {
+        let current = self.demand.iter().rev().find(|(from_s, _)| *from_s <= at_s);
+        current.map_or(0.0, |(_, factor)| *factor)
     }
 
     pub(super) fn organisation(&self) -> Organisation {
@@ -77,85 +80,93 @@
         }
     }
 
-    /// Whether a message passes between two VMs.
+    /// Returns whether the network passes messages between two VMs.
     pub(super) fn passes(&self, from: usize, to: usize, at_s: f64) -> bool {
-        let is_cut = |vm: usize, share: f64| vm as f64 >= self.vms as f64 * (1.0 - share);
-        self.cut.is_none_or(|(begin_s, end_s, share)| {
+        let is_isolated = |vm: usize, share: f64| vm as f64 >= self.vms as f64 * (1.0 - share);
+        self.partition.is_none_or(|(begin_s, end_s, share)| {
             let is_now = begin_s <= at_s && at_s < end_s;
-            !is_now || (!is_cut(from, share) && !is_cut(to, share))
+            !is_now || (!is_isolated(from, share) && !is_isolated(to, share))
         })
     }
 
-    /// Whether no VM runs.
+    /// Returns whether no VM runs.
     fn is_down(&self, at_s: f64) -> bool {
         let is_between = |(down_s, up_s)| down_s <= at_s && at_s < up_s;
         self.restart.is_some_and(is_between)
     }
 
-    /// What may be granted in a window.
+    /// Returns the amount that may be granted in a window.
     fn allowed(&self) -> f64 {
         let whole = self.rate_per_s * BOUNDS.window.as_secs_f64() + self.rate_per_s;
         whole * (1.0 + BOUNDS.overage) + BOUNDS.slack
     }
 }
 
-/// What came of a load.
+/// The result of a simulation.
 #[derive(Debug, Default)]
-pub(super) struct Outcome {
-    /// The most that was granted in a window, as a part of what the bound allows.
-    pub(super) most: f64,
-    /// Refused although a bucket that knows all at once would have granted it, as a part of that.
-    pub(super) refused_below: f64,
-    /// Granted over all, as a part of what such a bucket grants.
-    pub(super) granted: f64,
-    /// Messages a second and VM, and their bytes.
+pub(super) struct SimulationResult {
+    /// The largest amount granted in a window, as a fraction of the allowed amount.
+    pub(super) max_granted_share: f64,
+    /// The amount refused although an ideal token bucket that sees all requests at once would have
+    /// granted it, as a fraction of the amount that the ideal bucket granted.
+    pub(super) refused_within_quota: f64,
+    /// The total amount granted, as a fraction of the amount that the ideal bucket granted.
+    pub(super) granted_share: f64,
+    /// The messages sent per second and VM.
     pub(super) messages_per_s: f64,
+    /// The bytes sent per second and VM.
     pub(super) bytes_per_s: f64,
 }
 
-/// Messages on their way, and what was sent in all.
+/// The messages in flight, and the totals sent.
 struct Network<M> {
-    mail: BTreeMap<(Instant, u64), (usize, usize, M)>,
+    in_flight: BTreeMap<(Instant, u64), (usize, usize, M)>,
     sent: u64,
     bytes: usize,
 }
 
 impl<M> Network<M> {
-    /// Sends a message, which may be lost or come late.
-    fn send(&mut self, load: &Load, at: Moment, random: &mut SmallRng, letter: Letter<M>) {
+    /// Sends a message, which may be lost or delayed.
+    fn send(
+        &mut self,
+        scenario: &Scenario,
+        at: SimTime,
+        random: &mut SmallRng,
+        envelope: Envelope<M>,
+    ) {
         self.sent += 1;
-        self.bytes += letter.bytes;
-        let is_lost = random.random::<f64>() < load.loss;
-        if !is_lost && load.passes(letter.from, letter.to, at.since_s) {
-            let due = at.now + load.max_late.mul_f64(random.random());
-            let entry = (letter.from, letter.to, letter.message);
-            self.mail.insert((due, self.sent), entry);
+        self.bytes += envelope.bytes;
+        let is_lost = random.random::<f64>() < scenario.loss;
+        if !is_lost && scenario.passes(envelope.from, envelope.to, at.elapsed_s) {
+            let due = at.now + scenario.max_delay.mul_f64(random.random());
+            let entry = (envelope.from, envelope.to, envelope.message);
+            self.in_flight.insert((due, self.sent), entry);
         }
     }
 
-    /// The next message that has come by now.
+    /// Returns the next message that has arrived by now.
     fn next(&mut self, now: Instant) -> Option<(usize, usize, M)> {
-        let entry = self.mail.first_entry()?;
+        let entry = self.in_flight.first_entry()?;
         (entry.key().0 <= now).then(|| entry.remove())
     }
 }
 
-/// A message with its bytes.
-struct Letter<M> {
+/// A message with its sender, recipient and size in bytes.
+struct Envelope<M> {
     from: usize,
     to: usize,
     message: M,
     bytes: usize,
 }
 
-/// A moment of a play.
+/// A point in simulated time.
 #[derive(Clone, Copy)]
-struct Moment {
+struct SimTime {
     now: Instant,
-    since_s: f64,
+    elapsed_s: f64,
 }
 
-/// What was granted within the quota's window.
+/// The amounts granted within the quota window.
 #[derive(Default)]
 struct Window {
     grants: VecDeque<(Instant, f64)>,
@@ -163,12 +174,12 @@
 }
 
 impl Window {
-    fn note(&mut self, amount: f64, now: Instant) {
+    fn record(&mut self, amount: f64, now: Instant) {
         self.grants.push_back((now, amount));
         self.sum += amount;
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn prune(&mut self, now: Instant) {
         while let Some((at, amount)) = self.grants.front() {
             if now.saturating_duration_since(*at) <= BOUNDS.window {
                 return;
@@ -179,112 +190,119 @@
     }
 }
 
-/// Plays a load.
-pub(super) fn play<W: Way>(load: &Load) -> Outcome {
-    let began = Instant::now();
-    let mut random = SmallRng::seed_from_u64(load.seed);
-    let mut way = W::new(load, began);
-    let mut ideal = Bucket::new(load.rate_per_s, load.rate_per_s, began);
+/// Simulates a scenario.
+pub(super) fn simulate<W: QuotaScheme>(scenario: &Scenario) -> SimulationResult {
+    let started_at = Instant::now();
+    let mut random = SmallRng::seed_from_u64(scenario.seed);
+    let mut scheme = W::new(scenario, started_at);
+    let mut ideal = TokenBucket::new(scenario.rate_per_s, scenario.rate_per_s, started_at);
     let mut network = Network {
-        mail: BTreeMap::new(),
+        in_flight: BTreeMap::new(),
         sent: 0,
         bytes: 0,
     };
     let mut window = Window::default();
-    let mut outcome = Outcome::default();
-    let (mut owed, mut refused, mut granted) = (0.0, 0.0, 0.0);
-    let steps = (load.lasts_s / STEP.as_secs_f64()) as u32;
+    let mut result = SimulationResult::default();
+    let (mut ideal_granted, mut refused, mut granted) = (0.0, 0.0, 0.0);
+    let steps = (scenario.duration_s / STEP.as_secs_f64()) as u32;
     for step in 0..steps {
-        let at = Moment {
-            now: began + STEP * step,
-            since_s: f64::from(step) * STEP.as_secs_f64(),
+        let at = SimTime {
+            now: started_at + STEP * step,
+            elapsed_s: f64::from(step) * STEP.as_secs_f64(),
         };
-        if load.is_down(at.since_s) {
-            way = W::new(load, at.now);
-            network.mail.clear();
+        if scenario.is_down(at.elapsed_s) {
+            scheme = W::new(scenario, at.now);
+            network.in_flight.clear();
             continue;
         }
-        speak(&mut way, &mut network, load, step, at, &mut random);
-        listen(&mut way, &mut network, load, at, &mut random);
-        for (vm, amount) in requests(load, at.since_s, &mut random) {
-            let is_owed = ideal.take(amount, at.now);
-            let is_granted = way.ask(vm, amount, random.random(), at.now);
-            if is_owed {
-                owed += amount;
+        send_round(&mut scheme, &mut network, scenario, step, at, &mut random);
+        deliver(&mut scheme, &mut network, scenario, at, &mut random);
+        for (vm, amount) in requests(scenario, at.elapsed_s, &mut random) {
+            let is_within_quota = ideal.take(amount, at.now);
+            let is_granted = scheme.request(vm, amount, random.random(), at.now);
+            if is_within_quota {
+                ideal_granted += amount;
             }
             if is_granted {
                 granted += amount;
-                window.note(amount, at.now);
-            } else if is_owed {
+                window.record(amount, at.now);
+            } else if is_within_quota {
                 refused += amount;
             }
         }
-        window.forget(at.now);
-        outcome.most = outcome.most.max(window.sum / load.allowed());
+        window.prune(at.now);
+        result.max_granted_share = result
+            .max_granted_share
+            .max(window.sum / scenario.allowed());
     }
-    outcome.refused_below = refused / owed;
-    outcome.granted = granted / owed;
-    let vm_seconds = load.lasts_s * load.vms as f64;
-    outcome.messages_per_s = network.sent as f64 / vm_seconds;
-    outcome.bytes_per_s = network.bytes as f64 / vm_seconds;
-    outcome
+    result.refused_within_quota = refused / ideal_granted;
+    result.granted_share = granted / ideal_granted;
+    let vm_seconds = scenario.duration_s * scenario.vms as f64;
+    result.messages_per_s = network.sent as f64 / vm_seconds;
+    result.bytes_per_s = network.bytes as f64 / vm_seconds;
+    result
 }
 
-/// Lets those VMs speak whose turn it is; turns begin anywhere, as they do in the product.
-fn speak<W: Way>(
-    way: &mut W,
+/// Sends the messages of the VMs whose round is due. Rounds are staggered over the VMs, as they are
+/// in production.
+fn send_round<W: QuotaScheme>(
+    scheme: &mut W,
     network: &mut Network<W::Message>,
-    load: &Load,
+    scenario: &Scenario,
     step: u32,
-    at: Moment,
+    at: SimTime,
     random: &mut SmallRng,
 ) {
-    for vm in (0..load.vms).filter(|vm| step % TURN_STEPS == *vm as u32 % TURN_STEPS) {
-        let turn = (step / TURN_STEPS) as usize + vm * 7;
-        for (to, message, bytes) in way.turn(vm, turn, at.now) {
-            let letter = Letter {
+    for vm in (0..scenario.vms).filter(|vm| step % ROUND_STEPS == *vm as u32 % ROUND_STEPS) {
+        let round = (step / ROUND_STEPS) as usize + vm * 7;
+        for (to, message, bytes) in scheme.round(vm, round, at.now) {
+            let envelope = Envelope {
                 from: vm,
                 to,
                 message,
                 bytes,
             };
-            network.send(load, at, random, letter);
+            network.send(scenario, at, random, envelope);
         }
     }
 }
 
-/// Hands over what has come.
-fn listen<W: Way>(
-    way: &mut W,
+/// Delivers the messages that have arrived, and sends the replies.
+fn deliver<W: QuotaScheme>(
+    scheme: &mut W,
     network: &mut Network<W::Message>,
-    load: &Load,
-    at: Moment,
+    scenario: &Scenario,
+    at: SimTime,
     random: &mut SmallRng,
 ) {
     while let Some((from, to, message)) = network.next(at.now) {
-        if let Some(answer) = way.receive(to, from, message, at.now) {
-            let letter = Letter {
+        if let Some(reply) = scheme.receive(to, from, message, at.now) {
+            let envelope = Envelope {
                 from: to,
                 to: from,
-                message: answer,
-                bytes: ANSWER_BYTES,
+                message: reply,
+                bytes: REPLY_BYTES,
             };
-            network.send(load, at, random, letter);
+            network.send(scenario, at, random, envelope);
         }
     }
 }
 
-/// The requests of one step: at which VM, and how many tokens.
-fn requests(load: &Load, at_s: f64, random: &mut SmallRng) -> Vec<(usize, f64)> {
+/// Returns the requests of one step as pairs of VM index and tokens.
+fn requests(scenario: &Scenario, at_s: f64, random: &mut SmallRng) -> Vec<(usize, f64)> {
     let mean = AMOUNT.0 + AMOUNT.1 / 2.0;
-    let mut tokens = load.rate_per_s * load.asked_x(at_s) * STEP.as_secs_f64();
+    let mut tokens = scenario.rate_per_s * scenario.demand_factor(at_s) * STEP.as_secs_f64();
     let mut requests = Vec::new();
     while random.random::<f64>() * mean < tokens {
         tokens -= mean;
         let amount = AMOUNT.0 + AMOUNT.1 * random.random::<f64>();
         let draw: f64 = random.random();
-        let place = if load.is_lopsided { draw.powi(4) } else { draw };
-        let vm = ((place * load.vms as f64) as usize).min(load.vms - 1);
+        let position = if scenario.is_skewed {
+            draw.powi(4)
+        } else {
+            draw
+        };
+        let vm = ((position * scenario.vms as f64) as usize).min(scenario.vms - 1);
         requests.push((vm, amount));
     }
     requests
--- a/src/gateway/tests/quota_ways.rs
+++ b/src/gateway/tests/quota_ways.rs
@@ -1,8 +1,8 @@
-//! Ways to keep a quota at many VMs: the product's, and those that it is compared with.
+//! Schemes for enforcing a quota on many VMs: the one in production, and others to compare it with.
 
 use crate::callers::{Ledger, Organisation, UsageReport};
 use crate::gateway::gossip_targets::Targets;
-use crate::gateway::tests::quota_play::{BOUNDS, Load};
+use crate::gateway::tests::quota_play::{BOUNDS, Scenario};
 use crate::inventory::Name;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,14 +10,19 @@
 
 const ZONES: usize = 3;
 
-/// A way to keep a quota at many VMs.
-pub(super) trait Way {
-    /// What VMs tell each other.
+/// A scheme for enforcing a quota on many VMs.
+pub(super) trait QuotaScheme {
+    /// A message between VMs.
     type Message: Clone;
-    fn new(load: &Load, now: Instant) -> Self;
-    /// The messages of a VM's turn, with their receivers and bytes.
-    fn turn(&mut self, vm: usize, turn: usize, now: Instant) -> Vec<(usize, Self::Message, usize)>;
-    /// Takes a message; may answer.
+    fn new(scenario: &Scenario, now: Instant) -> Self;
+    /// Returns the messages of a VM's gossip round, with their recipients and sizes in bytes.
+    fn round(
+        &mut self,
+        vm: usize,
+        round: usize,
+        now: Instant,
+    ) -> Vec<(usize, Self::Message, usize)>;
+    /// Handles a received message; may return a reply.
     fn receive(
         &mut self,
         vm: usize,
@@ -25,18 +30,19 @@
         message: Self::Message,
         now: Instant,
     ) -> Option<Self::Message>;
-    fn ask(&mut self, vm: usize, amount: f64, draw: f64, now: Instant) -> bool;
+    /// Returns whether a request at a VM is granted.
+    fn request(&mut self, vm: usize, amount: f64, draw: f64, now: Instant) -> bool;
 }
 
-/// A bucket that knows all requests at once.
-pub(super) struct Bucket {
+/// A token bucket.
+pub(super) struct TokenBucket {
     pub(super) rate_per_s: f64,
     pub(super) burst: f64,
     pub(super) level: f64,
     pub(super) at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub(super) fn new(rate_per_s: f64, burst: f64, now: Instant) -> Self {
         Self {
             rate_per_s,
@@ -47,9 +53,9 @@
     }
 
     pub(super) fn fill(&mut self, now: Instant) {
-        let gap = now.saturating_duration_since(self.at);
+        let elapsed = now.saturating_duration_since(self.at);
         self.at = now;
-        self.level = (self.level + self.rate_per_s * gap.as_secs_f64()).min(self.burst);
+        self.level = (self.level + self.rate_per_s * elapsed.as_secs_f64()).min(self.burst);
     }
 
     pub(super) fn take(&mut self, amount: f64, now: Instant) -> bool {
@@ -75,21 +81,22 @@
     Name::from(["a", "b", "c"][zone(vm)])
 }
 
-/// Tellings of what each VM granted, as the product does it.
-pub(super) struct Tellings {
+/// Each VM admits requests by the grants that the others report in gossip messages, as in
+/// production.
+pub(super) struct GossipedReports {
     organisation: Organisation,
     ledgers: Vec<Ledger>,
     targets: Vec<Targets>,
     index: BTreeMap<SocketAddr, usize>,
 }
 
-impl Way for Tellings {
+impl QuotaScheme for GossipedReports {
     type Message = (UsageReport, bool);
 
-    fn new(load: &Load, now: Instant) -> Self {
-        let targets = (0..load.vms).map(|vm| {
+    fn new(scenario: &Scenario, now: Instant) -> Self {
+        let targets = (0..scenario.vms).map(|vm| {
             let mut targets = Targets::default();
-            for other in (0..load.vms).filter(|other| *other != vm) {
+            for other in (0..scenario.vms).filter(|other| *other != vm) {
                 if zone(other) == zone(vm) {
                     targets.near.push(address(other));
                 } else {
@@ -100,29 +107,36 @@
             targets
         });
         Self {
-            organisation: load.organisation(),
-            ledgers: (0..load.vms).map(|_| Ledger::new(BOUNDS, now)).collect(),
+            organisation: scenario.organisation(),
+            ledgers: (0..scenario.vms)
+                .map(|_| Ledger::new(BOUNDS, now))
+                .collect(),
             targets: targets.collect(),
-            index: (0..load.vms).map(|vm| (address(vm), vm)).collect(),
+            index: (0..scenario.vms).map(|vm| (address(vm), vm)).collect(),
         }
     }
 
-    fn turn(&mut self, vm: usize, turn: usize, now: Instant) -> Vec<(usize, Self::Message, usize)> {
+    fn round(
+        &mut self,
+        vm: usize,
+        round: usize,
+        now: Instant,
+    ) -> Vec<(usize, Self::Message, usize)> {
         let ledger = &mut self.ledgers[vm];
-        let own = ledger.vm_report(now);
-        let of_zone = ledger.zone_report(now);
+        let vm_report = ledger.vm_report(now);
+        let zone_report = ledger.zone_report(now);
         ledger.prune_expired(now);
         let targets = &self.targets[vm];
-        let near = targets.local_part(turn).into_iter();
-        let near = near.map(|to| (to, (own.clone(), true)));
-        let far = targets.remote_part(turn).flat_map(|(_, vms)| vms);
-        let far = far.map(|to| (to, (of_zone.clone(), false)));
+        let near = targets.local_part(round).into_iter();
+        let near = near.map(|to| (to, (vm_report.clone(), true)));
+        let far = targets.remote_part(round).flat_map(|(_, vms)| vms);
+        let far = far.map(|to| (to, (zone_report.clone(), false)));
         let messages = near.chain(far);
-        let bytes = |tally: &UsageReport| 6 + 25 * tally.usages.len();
+        let bytes = |report: &UsageReport| 6 + 25 * report.usages.len();
         messages
             .map(|(to, message)| {
-                let length = bytes(&message.0);
-                (self.index[&to], message, length)
+                let size = bytes(&message.0);
+                (self.index[&to], message, size)
             })
             .collect()
     }
@@ -131,50 +145,50 @@
         &mut self,
         vm: usize,
         from: usize,
-        (tally, is_near): Self::Message,
+        (report, is_local): Self::Message,
         now: Instant,
     ) -> Option<Self::Message> {
-        if is_near {
+        if is_local {
             let next_in = Duration::from_millis(200) * self.targets[from].local_rounds() as u32;
-            self.ledgers[vm].apply_vm_report(address(from), tally, next_in, now);
+            self.ledgers[vm].apply_vm_report(address(from), report, next_in, now);
         } else {
-            self.ledgers[vm].apply_zone_report(&zone_name(from), tally, now);
+            self.ledgers[vm].apply_zone_report(&zone_name(from), report, now);
         }
         None
     }
 
-    fn ask(&mut self, vm: usize, amount: f64, draw: f64, now: Instant) -> bool {
+    fn request(&mut self, vm: usize, amount: f64, draw: f64, now: Instant) -> bool {
         let vms = self.ledgers.len();
-        let taken = self.ledgers[vm].try_grant(&self.organisation, Some(amount), vms, draw, now);
-        taken.is_ok()
+        let outcome = self.ledgers[vm].try_grant(&self.organisation, Some(amount), vms, draw, now);
+        outcome.is_ok()
     }
 }
 
-/// An even part for each VM.
-pub(super) struct EvenParts {
-    buckets: Vec<Bucket>,
+/// Each VM enforces an equal share of the quota on its own.
+pub(super) struct EvenSplit {
+    buckets: Vec<TokenBucket>,
 }
 
-impl Way for EvenParts {
+impl QuotaScheme for EvenSplit {
     type Message = ();
 
-    fn new(load: &Load, now: Instant) -> Self {
-        let whole = load.rate_per_s * BOUNDS.window.as_secs_f64() + load.rate_per_s;
+    fn new(scenario: &Scenario, now: Instant) -> Self {
+        let whole = scenario.rate_per_s * BOUNDS.window.as_secs_f64() + scenario.rate_per_s;
         let margin = BOUNDS.overage * whole + BOUNDS.slack;
-        let part = 1.0 / load.vms as f64;
+        let part = 1.0 / scenario.vms as f64;
         let bucket = || {
-            Bucket::new(
-                load.rate_per_s * part,
-                (load.rate_per_s + margin) * part,
+            TokenBucket::new(
+                scenario.rate_per_s * part,
+                (scenario.rate_per_s + margin) * part,
                 now,
             )
         };
         Self {
-            buckets: (0..load.vms).map(|_| bucket()).collect(),
+            buckets: (0..scenario.vms).map(|_| bucket()).collect(),
         }
     }
 
-    fn turn(&mut self, _: usize, _: usize, _: Instant) -> Vec<(usize, (), usize)> {
+    fn round(&mut self, _: usize, _: usize, _: Instant) -> Vec<(usize, (), usize)> {
         Vec::new()
     }
 
@@ -182,49 +196,53 @@
         None
     }
 
-    fn ask(&mut self, vm: usize, amount: f64, _draw: f64, now: Instant) -> bool {
+    fn request(&mut self, vm: usize, amount: f64, _draw: f64, now: Instant) -> bool {
         self.buckets[vm].take(amount, now)
     }
 }
 
-/// One VM hands out credits in advance; a part is kept back for those that cannot reach it.
-pub(super) struct Credits {
-    home: Bucket,
-    reserves: Vec<Bucket>,
-    wanted: Vec<VecDeque<(Instant, f64)>>,
-    credits: Vec<(f64, Instant)>,
+/// One VM leases credits in advance. A share of the quota is split evenly among all VMs, for those
+/// that cannot reach the leasing VM.
+pub(super) struct CreditLeases {
+    central: TokenBucket,
+    local_buckets: Vec<TokenBucket>,
+    requested: Vec<VecDeque<(Instant, f64)>>,
+    leases: Vec<(f64, Instant)>,
 }
 
-/// The part of the quota that is kept back evenly.
-const RESERVE: f64 = 0.25;
-/// After how long a credit that was not spent ends.
-const CREDIT_FOR: Duration = Duration::from_millis(1_000);
+/// The share of the quota that is split evenly.
+const RESERVE_SHARE: f64 = 0.25;
+/// The time after which an unspent credit expires.
+const LEASE_LIFETIME: Duration = Duration::from_millis(1_000);
 
-impl Way for Credits {
-    /// Wanted by the sender, or granted to the receiver.
+impl QuotaScheme for CreditLeases {
+    /// Whether the amount is requested by the sender or granted to the recipient, and the amount.
     type Message = (bool, f64);
 
-    fn new(load: &Load, now: Instant) -> Self {
-        let EvenParts { buckets } = EvenParts::new(load, now);
-        let reserves = buckets.into_iter().map(|it| {
-            let rate_per_s = it.rate_per_s * RESERVE;
-            Bucket::new(rate_per_s, it.burst * RESERVE, now)
+    fn new(scenario: &Scenario, now: Instant) -> Self {
+        let EvenSplit { buckets } = EvenSplit::new(scenario, now);
+        let local_buckets = buckets.into_iter().map(|it| {
+            let rate_per_s = it.rate_per_s * RESERVE_SHARE;
+            TokenBucket::new(rate_per_s, it.burst * RESERVE_SHARE, now)
         });
-        let burst = load.rate_per_s * (1.0 - RESERVE);
+        let burst = scenario.rate_per_s * (1.0 - RESERVE_SHARE);
         Self {
-            home: Bucket::new(burst, burst, now),
-            reserves: reserves.collect(),
-            wanted: vec![VecDeque::new(); load.vms],
-            credits: vec![(0.0, now); load.vms],
+            central: TokenBucket::new(burst, burst, now),
+            local_buckets: local_buckets.collect(),
+            requested: vec![VecDeque::new(); scenario.vms],
+            leases: vec![(0.0, now); scenario.vms],
         }
     }
 
-    fn turn(&mut self, vm: usize, _: usize, now: Instant) -> Vec<(usize, (bool, f64), usize)> {
-        let wanted = &mut self.wanted[vm];
-        wanted.retain(|(at, _)| now.saturating_duration_since(*at) < CREDIT_FOR);
-        let per_turn = wanted.iter().map(|(_, amount)| amount).sum::<f64>() * 0.5;
-        let largest = wanted.iter().map(|(_, amount)| *amount).fold(0.0, f64::max);
-        let missing = per_turn.max(largest) - self.credits[vm].0;
+    fn round(&mut self, vm: usize, _: usize, now: Instant) -> Vec<(usize, (bool, f64), usize)> {
+        let requested = &mut self.requested[vm];
+        requested.retain(|(at, _)| now.saturating_duration_since(*at) < LEASE_LIFETIME);
+        let per_round = requested.iter().map(|(_, amount)| amount).sum::<f64>() * 0.5;
+        let largest = requested
+            .iter()
+            .map(|(_, amount)| *amount)
+            .fold(0.0, f64::max);
+        let missing = per_round.max(largest) - self.leases[vm].0;
         match missing > 0.0 {
             true => vec![(0, (true, missing), 40)],
             false => Vec::new(),
@@ -235,27 +253,27 @@
         &mut self,
         vm: usize,
         _from: usize,
-        (is_wanted, amount): (bool, f64),
+        (is_request, amount): (bool, f64),
         now: Instant,
     ) -> Option<(bool, f64)> {
-        if is_wanted {
-            self.home.fill(now);
-            let granted = amount.min(self.home.level).max(0.0);
-            self.home.level -= granted;
+        if is_request {
+            self.central.fill(now);
+            let granted = amount.min(self.central.level).max(0.0);
+            self.central.level -= granted;
             return Some((false, granted));
         }
-        let (left, _) = self.credits[vm];
-        self.credits[vm] = (left + amount, now);
+        let (left, _) = self.leases[vm];
+        self.leases[vm] = (left + amount, now);
         None
     }
 
-    fn ask(&mut self, vm: usize, amount: f64, _draw: f64, now: Instant) -> bool {
-        self.wanted[vm].push_back((now, amount));
-        let (left, at) = self.credits[vm];
-        if left >= amount && now.saturating_duration_since(at) < CREDIT_FOR {
-            self.credits[vm].0 -= amount;
+    fn request(&mut self, vm: usize, amount: f64, _draw: f64, now: Instant) -> bool {
+        self.requested[vm].push_back((now, amount));
+        let (left, at) = self.leases[vm];
+        if left >= amount && now.saturating_duration_since(at) < LEASE_LIFETIME {
+            self.leases[vm].0 -= amount;
             return true;
         }
-        self.reserves[vm].take(amount, now)
+        self.local_buckets[vm].take(amount, now)
     }
 }
--- a/src/gateway/tests/quotas.rs
+++ b/src/gateway/tests/quotas.rs
@@ -1,138 +1,147 @@
-//! Quotas over many VMs: what is granted in all, and what is refused below the quota.
+//! Tests of quotas on many VMs: the total amount granted, and the requests refused below the quota.
 
 use crate::callers::{GrantRecord, Ledger, QuotaBounds};
-use crate::gateway::tests::quota_play::{BOUNDS, Load, Outcome, STEP, WARM_UP_S, play};
-use crate::gateway::tests::quota_ways::{Credits, EvenParts, Tellings, Way};
+use crate::gateway::tests::quota_play::{
+    BOUNDS, STEP, Scenario, SimulationResult, WARM_UP_S, simulate,
+};
+use crate::gateway::tests::quota_ways::{CreditLeases, EvenSplit, GossipedReports, QuotaScheme};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
-/// The loads of the comparison, by name.
-fn loads(vms: usize) -> Vec<(&'static str, Load)> {
-    let calm = Load::calm(vms);
-    let hot = vec![(WARM_UP_S, 0.55), (12.0, 2.8), (20.0, 0.55)];
-    let late = Duration::from_millis(1_000);
+/// The scenarios of the comparison, by name.
+fn scenarios(vms: usize) -> Vec<(&'static str, Scenario)> {
+    let steady = Scenario::steady(vms);
+    let surge = vec![(WARM_UP_S, 0.55), (12.0, 2.8), (20.0, 0.55)];
+    let delay = Duration::from_millis(1_000);
     vec![
-        ("calm", calm.clone()),
+        ("calm", steady.clone()),
         (
             "calm, small quota",
-            Load {
+            Scenario {
                 rate_per_s: 1_900.0,
-                lasts_s: 60.0,
-                ..calm.clone()
+                duration_s: 60.0,
+                ..steady.clone()
             },
         ),
         (
             "lopsided",
-            Load {
-                is_lopsided: true,
-                ..calm.clone()
+            Scenario {
+                is_skewed: true,
+                ..steady.clone()
             },
         ),
         (
             "five times its usual",
-            Load {
-                asked: hot.clone(),
-                ..calm.clone()
+            Scenario {
+                demand: surge.clone(),
+                ..steady.clone()
             },
         ),
         (
             "the same, small quota",
-            Load {
-                asked: hot.clone(),
+            Scenario {
+                demand: surge.clone(),
                 rate_per_s: 1_900.0,
-                ..calm.clone()
+                ..steady.clone()
             },
         ),
         (
             "the same, messages late by up to 1 s",
-            Load {
-                asked: hot.clone(),
-                max_late: late,
-                ..calm.clone()
+            Scenario {
+                demand: surge.clone(),
+                max_delay: delay,
+                ..steady.clone()
             },
         ),
         (
             "the same, all restarted in the midst of it",
-            Load {
-                asked: hot.clone(),
+            Scenario {
+                demand: surge.clone(),
                 restart: Some((15.0, 16.0)),
-                ..calm.clone()
+                ..steady.clone()
             },
         ),
         (
             "the same, a third cut off",
-            Load {
-                asked: hot,
-                cut: Some((10.0, 24.0, 1.0 / 3.0)),
-                ..calm
+            Scenario {
+                demand: surge,
+                partition: Some((10.0, 24.0, 1.0 / 3.0)),
+                ..steady
             },
         ),
     ]
 }
 
-fn row<W: Way>(name: &str, way: &str, load: &Load) -> Outcome {
-    let outcome = play::<W>(load);
+fn row<W: QuotaScheme>(name: &str, scheme: &str, scenario: &Scenario) -> SimulationResult {
+    let result = simulate::<W>(scenario);
     println!(
-        "| {} | {name} | {way} | {:.2} | {:.3} | {:.2} | {:.0} | {:.0} |",
-        load.vms,
-        outcome.most,
-        outcome.refused_below,
-        outcome.granted,
-        outcome.messages_per_s,
-        outcome.bytes_per_s
+        "| {} | {name} | {scheme} | {:.2} | {:.3} | {:.2} | {:.0} | {:.0} |",
+        scenario.vms,
+        result.max_granted_share,
+        result.refused_within_quota,
+        result.granted_share,
+        result.messages_per_s,
+        result.bytes_per_s
     );
-    outcome
+    result
 }
 
 #[test]
-fn the_quota_holds_and_little_is_refused_below_it() {
+fn the_quota_holds_and_few_requests_below_it_are_refused() {
     println!("| VMs | load | way | most | refused below | granted | messages/s | bytes/s |");
     for vms in [9, 67, 195, 410] {
-        for (name, load) in loads(vms) {
-            let told = row::<Tellings>(name, "tellings", &load);
-            row::<EvenParts>(name, "even parts", &load);
-            row::<Credits>(name, "credits", &load);
-            assert!(told.most <= 1.0, "{vms} VMs, {name}: {told:?}");
-            if load.asked.len() == 1 {
-                assert!(told.refused_below <= 0.01, "{vms} VMs, {name}: {told:?}");
+        for (name, scenario) in scenarios(vms) {
+            let reported = row::<GossipedReports>(name, "tellings", &scenario);
+            row::<EvenSplit>(name, "even parts", &scenario);
+            row::<CreditLeases>(name, "credits", &scenario);
+            assert!(
+                reported.max_granted_share <= 1.0,
+                "{vms} VMs, {name}: {reported:?}"
+            );
+            if scenario.demand.len() == 1 {
+                assert!(
+                    reported.refused_within_quota <= 0.01,
+                    "{vms} VMs, {name}: {reported:?}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn a_grant_that_did_not_run_is_taken_back() {
+fn a_request_that_did_not_run_is_refunded() {
     let now = Instant::now();
-    let load = Load {
+    let scenario = Scenario {
         rate_per_s: 1_000.0,
-        ..Load::calm(1)
+        ..Scenario::steady(1)
     };
-    let organisation = load.organisation();
+    let organisation = scenario.organisation();
     let bounds = QuotaBounds {
         slack: 0.0,
         overage: 0.0,
         ..BOUNDS
     };
     let mut ledger = Ledger::new(bounds, now);
-    // What was granted before its start is forgotten by then.
+    // A new ledger assumes that the quota was spent before its start; a window later it no longer
+    // does.
     let now = now + BOUNDS.window;
     let take = |ledger: &mut Ledger| -> Option<GrantRecord> {
         let taken = ledger.try_grant(&organisation, Some(900.0), 1, 0.0, now);
         taken.ok().flatten()
     };
-    let granted = take(&mut ledger).expect("it is within the quota");
+    let granted = take(&mut ledger).expect("the request is within the quota");
     assert_eq!(take(&mut ledger), None);
     ledger.refund(&granted);
     assert!(take(&mut ledger).is_some());
 }
 
 #[test]
-fn a_lower_quota_binds_at_once_and_is_granted_from_the_change_on() {
+fn a_lowered_quota_applies_at_once_and_is_available_from_the_change_on() {
     let mut now = Instant::now();
-    let high = Load::calm(1).organisation();
-    let low = Load {
+    let high = Scenario::steady(1).organisation();
+    let low = Scenario {
         rate_per_s: 5_000.0,
-        ..Load::calm(1)
+        ..Scenario::steady(1)
     }
     .organisation();
     let bounds = QuotaBounds {
@@ -160,30 +169,30 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
     #[test]
-    fn the_sum_holds_whatever_becomes_of_messages(
+    fn the_quota_holds_despite_network_faults_and_restarts(
         vms in 3usize..70,
         rate_per_s in 1_900.0f64..250_000.0,
         loss in 0.0f64..0.5,
-        late_ms in 0u64..300,
-        x in 0.5f64..4.2,
+        delay_ms in 0u64..300,
+        surge_factor in 0.5f64..4.2,
         restart_s in proptest::option::of(10.5f64..18.0),
-        is_lopsided in any::<bool>(),
-        cut in proptest::option::of((6.0f64..14.0, 0.1f64..0.9)),
+        is_skewed in any::<bool>(),
+        partition in proptest::option::of((6.0f64..14.0, 0.1f64..0.9)),
         seed in any::<u64>(),
     ) {
-        let load = Load {
+        let scenario = Scenario {
             rate_per_s,
             loss,
-            max_late: Duration::from_millis(late_ms),
-            asked: vec![(WARM_UP_S, 0.55), (10.0, x)],
-            is_lopsided,
+            max_delay: Duration::from_millis(delay_ms),
+            demand: vec![(WARM_UP_S, 0.55), (10.0, surge_factor)],
+            is_skewed,
             restart: restart_s.map(|down_s| (down_s, down_s + 1.0)),
-            cut: cut.map(|(from_s, share)| (from_s, from_s + 5.0, share)),
-            lasts_s: 20.0,
+            partition: partition.map(|(from_s, share)| (from_s, from_s + 5.0, share)),
+            duration_s: 20.0,
             seed,
-            ..Load::calm(vms)
+            ..Scenario::steady(vms)
         };
-        let outcome = play::<Tellings>(&load);
-        prop_assert!(outcome.most <= 1.0, "{outcome:?}");
+        let result = simulate::<GossipedReports>(&scenario);
+        prop_assert!(result.max_granted_share <= 1.0, "{result:?}");
     }
 }
