--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -119,9 +119,9 @@
     /// A load from the weight store.
     pub(crate) load_ms: u64,
     /// A load from the runner's own memory.
-    pub(crate) warm_ms: u64,
+    pub(crate) warm_load_ms: u64,
     /// A load from the runner's own disk.
-    pub(crate) disk_ms: u64,
+    pub(crate) disk_load_ms: u64,
     /// How many adapters it has.
     pub(crate) adapters: u32,
     /// The size of an adapter, in MB.
@@ -230,7 +230,7 @@
 
 impl Route {
     /// Whether a request may run more than once.
-    pub(crate) fn is_repeatable(&self) -> bool {
+    pub(crate) fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
             RouteKind::Unsafe => false,
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -1,7 +1,7 @@
 //! The gossip messages between VMs.
 
 use crate::callers::{SPAN_COUNT, Usage, UsageReport};
-use crate::gateway::directory_updates::DirectoryNews;
+use crate::gateway::directory_updates::DirectoryUpdate;
 use crate::gateway::view::Sighting;
 use crate::inventory::Name;
 use prost::Message;
@@ -69,7 +69,7 @@
     pub(super) requests_view: bool,
     /// Directory changes, forwarded to the zone of the sender.
     #[prost(message, optional, tag = "18")]
-    pub(super) directory: Option<DirectoryNews>,
+    pub(super) directory: Option<DirectoryUpdate>,
     /// What organisations were granted: at the sender, or, in messages to remote zones, in the
     /// whole zone of the sender.
     #[prost(message, optional, tag = "19")]
--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -51,7 +51,7 @@
             }
         }
         if let Some(news) = digest.directory.clone() {
-            self.state.take_directory_news(news, now);
+            self.state.apply_directory_update(news, now);
         }
         self.take_holdings(&digest, now);
         self.take_prompts(sender, &digest, now);
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -233,8 +233,8 @@
         name: wire.name,
         weights_mb: wire.weights_mb,
         load_ms: millis(wire.load_time_s),
-        warm_ms: millis(wire.warm_s.unwrap_or(wire.load_time_s)),
-        disk_ms: millis(wire.disk_s.unwrap_or(wire.load_time_s)),
+        warm_load_ms: millis(wire.warm_s.unwrap_or(wire.load_time_s)),
+        disk_load_ms: millis(wire.disk_s.unwrap_or(wire.load_time_s)),
         adapters: wire.adapters,
         adapter_mb: wire.adapter_mb,
     }
