--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,60 +1,61 @@
-//! The budget of retries: they never exceed a tenth of a VM's load.
+//! Limits a VM's retries to a tenth of its requests, plus a small constant rate and burst.
 
 use std::cell::Cell;
 use std::time::Instant;
 
-/// Retries earned by each request.
+/// Retries credited per request.
 const EARNED_PER_REQUEST: f64 = 0.1;
-/// Retries earned by each second, so that single failures at low load are retried.
+/// Retries credited per second, so that isolated failures at low load can be retried.
 const EARNED_PER_S: f64 = 0.5;
-/// Retries that can be saved up.
-const MAX_SAVED: f64 = 32.0;
-/// Retries that a process starts with.
-const SAVED_AT_START: f64 = 8.0;
-/// Retries that streams already begun may take beyond what was earned.
+/// The largest number of retries that can accumulate.
+const MAX_BALANCE: f64 = 32.0;
+/// Retries available when the process starts.
+const INITIAL_BALANCE: f64 = 8.0;
+/// How far streams that have begun may overdraw the balance, in retries.
 const MAX_DEBT: f64 = 64.0;
 
 /// A token bucket for attempts after the first.
 ///
-/// A stream that has begun may go into debt: refusing it would waste what its
-/// caller has already read. Requests that have not begun are refused until the
-/// debt is paid.
+/// A stream that has begun may overdraw the balance, since refusing it would waste what its caller
+/// has already received. Other requests are refused until the debt is repaid.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    saved: Cell<f64>,
-    earned_at: Cell<Instant>,
+    balance: Cell<f64>,
+    credited_at: Cell<Instant>,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: Cell::new(SAVED_AT_START),
-            earned_at: Cell::new(Instant::now()),
+            balance: Cell::new(INITIAL_BALANCE),
+            credited_at: Cell::new(Instant::now()),
         }
     }
 }
 
 impl RetryBudget {
-    /// Notes a request, which earns a part of a retry.
+    /// Credits the share of a retry that each request earns.
     pub(crate) fn note_request(&self) {
-        self.earn(EARNED_PER_REQUEST);
+        self.credit(EARNED_PER_REQUEST);
     }
 
-    /// Takes one retry, if there is one left.
+    /// Takes one retry and returns whether the budget allowed it. `has_begun` says that the
+    /// caller has already received part of the stream.
     pub(crate) fn take(&self, has_begun: bool) -> bool {
         let now = Instant::now();
-        let passed = now.duration_since(self.earned_at.replace(now));
-        self.earn(passed.as_secs_f64() * EARNED_PER_S);
+        let passed = now.duration_since(self.credited_at.replace(now));
+        self.credit(passed.as_secs_f64() * EARNED_PER_S);
         let allowed_debt = if has_begun { MAX_DEBT } else { 0.0 };
-        let left = self.saved.get() - 1.0;
-        if left < -allowed_debt {
+        let remaining = self.balance.get() - 1.0;
+        if remaining < -allowed_debt {
             return false;
         }
-        self.saved.set(left);
+        self.balance.set(remaining);
         true
     }
 
-    fn earn(&self, retries: f64) {
-        self.saved.set((self.saved.get() + retries).min(MAX_SAVED));
+    fn credit(&self, retries: f64) {
+        self.balance
+            .set((self.balance.get() + retries).min(MAX_BALANCE));
     }
 }
