--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! Finding the request that crashes runners: each suspect runs alone once.
+//! Finds the request that crashes runners by running each suspect in isolation.
 //!
-//! A crash makes every request aboard a suspect, by a record of the log. A
-//! suspect goes on only under an isolation: a record by which one runner takes
-//! no other new request until the suspect has got past the point at which it
-//! would crash again. So the guilty one crashes a second runner alone and is
-//! refused from then on, and the others are cleared within a few tokens.
+//! When a runner crashes, every request in flight on it is recorded in the log as a suspect. A
+//! suspect continues only under an isolation: a record in the log by which one runner takes no
+//! other new request until the suspect is past the point at which it would crash the runner again.
+//! So the request at fault crashes a second runner on its own and is refused from then on, and the
+//! other suspects are cleared within a few tokens.
 
 use crate::client::is_refused;
 use crate::control::{Command, Standing, SuspectCommand, Verdict};
@@ -19,48 +19,49 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Crashes that the log did not take, after which a request is refused by this VM.
-const MAX_UNRECORDED: u32 = 2;
-/// The pause before a crash is recorded that the log did not take.
-const RECORD_PAUSE: Duration = Duration::from_millis(500);
-/// How long to find out whether a runner crashed.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
-/// The pause between two looks at a runner that neither answers nor refuses.
-const PROBE_PAUSE: Duration = Duration::from_millis(50);
-/// How long requests sent before an isolation may take to show their effect.
-const SETTLE: Duration = Duration::from_millis(300);
+/// Number of crashes not yet recorded in the log at which this VM refuses a request.
+const MAX_UNRECORDED_CRASHES: u32 = 2;
+/// The interval between attempts to record a crash while the log is unavailable.
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// The time limit for finding out whether a runner crashed.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The interval between checks of a runner that neither answers nor refuses connections.
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
+/// How long to wait after an isolation begins for requests sent before it to take effect, such as
+/// crashing the runner.
+const ISOLATION_SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// One run of a runner's engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineRun {
     /// The runner.
     pub(crate) runner: Rc<Runner>,
-    /// The engine's boot, as last reported.
+    /// The engine's boot number, as last reported.
     pub(crate) boot: u64,
 }
 
 /// The quarantine service of one VM.
 pub(crate) struct Quarantine {
     control: Rc<ControlStream>,
-    /// Crashes that the log has not taken yet, by fingerprint.
-    unrecorded: RefCell<HashMap<u64, u32>>,
+    /// The number of crashes not yet recorded in the log, by request fingerprint.
+    unrecorded_crashes: RefCell<HashMap<u64, u32>>,
 }
 
 impl Service for Quarantine {
     const NAME: &'static str = "quarantine";
 }
 
-/// A runner held for one suspect; released when dropped.
+/// A runner reserved for one suspect; released when dropped.
 pub(crate) struct Isolation {
     quarantine: Rc<Quarantine>,
-    /// The run that takes the suspect.
+    /// The engine run that takes the suspect.
     pub(crate) run: EngineRun,
     fence: u64,
 }
 
 impl Drop for Isolation {
     fn drop(&mut self) {
-        self.quarantine.write(SuspectCommand::Release {
+        self.quarantine.propose_detached(SuspectCommand::Release {
             runner: self.run.runner.name.clone(),
             isolation: self.fence,
         });
@@ -68,47 +69,48 @@
 }
 
 impl Quarantine {
-    /// A quarantine over the control stream.
+    /// Creates a quarantine that records crashes in the control stream.
     pub(crate) fn new(control: Rc<ControlStream>) -> Self {
         Self {
             control,
-            unrecorded: RefCell::default(),
+            unrecorded_crashes: RefCell::default(),
         }
     }
 
-    /// What is known of a request.
+    /// Returns whether a request is clear, a suspect or refused as poison, by its fingerprint.
     pub(crate) fn standing(&self, fingerprint: u64) -> Standing {
-        let unrecorded = self.unrecorded.borrow().get(&fingerprint).copied();
-        if unrecorded.is_some_and(|crashes| crashes >= MAX_UNRECORDED) {
+        let unrecorded_crashes = self.unrecorded_crashes.borrow().get(&fingerprint).copied();
+        if unrecorded_crashes.is_some_and(|crashes| crashes >= MAX_UNRECORDED_CRASHES) {
             return Standing::Poison;
         }
         self.control
             .with(|control| control.suspects.standing(fingerprint))
     }
 
-    /// Notes a broken connection: if the runner crashed, the request becomes a suspect.
+    /// Handles a broken connection: if the runner crashed, the request becomes a suspect.
     ///
-    /// Returns whether it crashed. While the log is down the crash is kept here: most
-    /// requests aboard are innocent, and one more runner is risked for them.
+    /// Returns whether the runner crashed. While the log is unavailable, the crash is counted only
+    /// on this VM, and the request may run once more: most requests in flight are not at fault, and
+    /// risking one more runner is accepted for their sake.
     pub(crate) async fn note_cut(
         self: &Rc<Self>,
         request: &Name,
-        print: u64,
+        request_fingerprint: u64,
         run: &EngineRun,
     ) -> bool {
-        let probe = compio::time::timeout(PROBE_LIMIT, has_crashed(run));
+        let probe = compio::time::timeout(PROBE_TIMEOUT, has_run_ended(run));
         if !probe.await.unwrap_or(false) {
             return false;
         }
         emit(
             Event::RunnerCrashed,
             format_args!(
-                "runner={} boot={} request={request} fingerprint={print:016x}",
+                "runner={} boot={} request={request} fingerprint={request_fingerprint:016x}",
                 run.runner.name, run.boot
             ),
         );
         let command = SuspectCommand::Crashed {
-            fingerprint: print,
+            fingerprint: request_fingerprint,
             runner: run.runner.name.clone(),
             boot: run.boot,
         };
@@ -117,29 +119,42 @@
             .propose(Command::Suspect(command.clone()))
             .await;
         if recorded.is_err() {
-            *self.unrecorded.borrow_mut().entry(print).or_default() += 1;
-            compio::runtime::spawn(self.clone().record_later(print, command)).detach();
+            *self
+                .unrecorded_crashes
+                .borrow_mut()
+                .entry(request_fingerprint)
+                .or_default() += 1;
+            compio::runtime::spawn(
+                self.clone()
+                    .record_until_accepted(request_fingerprint, command),
+            )
+            .detach();
         }
         true
     }
 
-    /// Records a crash once the log takes it.
-    async fn record_later(self: Rc<Self>, print: u64, command: SuspectCommand) {
+    /// Retries until the log accepts the record of a crash, then removes it from the local count.
+    async fn record_until_accepted(
+        self: Rc<Self>,
+        request_fingerprint: u64,
+        command: SuspectCommand,
+    ) {
         let recorded = async || {
             let command = Command::Suspect(command.clone());
             self.control.propose(command).await.is_ok()
         };
         while !recorded().await {
-            compio::time::sleep(RECORD_PAUSE).await;
+            compio::time::sleep(RECORD_RETRY_INTERVAL).await;
         }
-        let mut unrecorded = self.unrecorded.borrow_mut();
-        if let Some(crashes) = unrecorded.get_mut(&print) {
+        let mut unrecorded_crashes = self.unrecorded_crashes.borrow_mut();
+        if let Some(crashes) = unrecorded_crashes.get_mut(&request_fingerprint) {
             *crashes -= 1;
-            unrecorded.retain(|_, crashes| *crashes > 0);
+            unrecorded_crashes.retain(|_, crashes| *crashes > 0);
         }
     }
 
-    /// Takes a runner for one suspect; `None` if it is taken or does not answer.
+    /// Reserves a runner for one suspect; `None` if it is already reserved, does not answer, or the
+    /// log is unavailable.
     pub(crate) async fn isolate(self: &Rc<Self>, runner: &Rc<Runner>) -> Option<Isolation> {
         let command = SuspectCommand::Isolate {
             runner: runner.name.clone(),
@@ -156,41 +171,43 @@
             },
             fence: recorded.position.fence,
         };
-        compio::time::sleep(SETTLE).await;
-        isolation.run.boot = boot_of(runner).await?;
+        compio::time::sleep(ISOLATION_SETTLE_TIME).await;
+        isolation.run.boot = current_boot(runner).await?;
         Some(isolation)
     }
 
-    /// Notes that a suspect did no harm.
+    /// Records that a suspect ran without crashing its runner.
     pub(crate) fn clear(self: &Rc<Self>, fingerprint: u64) {
-        self.write(SuspectCommand::Clear { fingerprint });
+        self.propose_detached(SuspectCommand::Clear { fingerprint });
     }
 
-    fn write(self: &Rc<Self>, command: SuspectCommand) {
+    /// Proposes a command in the background and ignores the outcome.
+    fn propose_detached(self: &Rc<Self>, command: SuspectCommand) {
         let quarantine = self.clone();
         compio::runtime::spawn(async move {
-            // Without the record an isolation ends by its time, and a suspect stays one.
+            // If this fails, the isolation ends by its timeout and the suspect remains a suspect.
             let _ = quarantine.control.propose(Command::Suspect(command)).await;
         })
         .detach();
     }
 }
 
-/// Whether the run is over: the engine refuses connections or has started anew.
-async fn has_crashed(run: &EngineRun) -> bool {
+/// Whether an engine run has ended: the engine refuses connections or reports another boot. Waits
+/// while the engine does neither and does not report.
+async fn has_run_ended(run: &EngineRun) -> bool {
     loop {
-        if let Some(boot) = boot_of(&run.runner).await {
+        if let Some(boot) = current_boot(&run.runner).await {
             return boot != run.boot;
         }
         if is_refused(run.runner.address).await {
             return true;
         }
-        compio::time::sleep(PROBE_PAUSE).await;
+        compio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
-/// The engine's boot now, over a new connection.
-async fn boot_of(runner: &Runner) -> Option<u64> {
+/// Fetches the engine's current boot number over a new connection.
+async fn current_boot(runner: &Runner) -> Option<u64> {
     let client = EngineClient::new(Default::default());
     Some(client.report(runner.address).await?.boot)
 }
