--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are taken, and which batch requests give up their slots.
+//! Decides which requests are admitted, and which batch requests yield their slots.
 
 use crate::completion::Ask;
 use crate::error::{Failure, Kind};
@@ -9,55 +9,56 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The time between two looks for runners that peers' urgent requests wait on.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// The interval between two checks for runners where requests of peers wait behind batch ones.
+const YIELD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Router {
     /// Refuses a request that is not expected to meet its deadlines.
     ///
     /// # Errors
     ///
-    /// Fails with the time after which the same request would be taken.
-    pub(crate) fn admit(&self, ask: &Ask) -> Result<(), Failure> {
+    /// Fails with [`Kind::Deadline`] and the number of seconds after which to retry.
+    pub(crate) fn admit(&self, request: &Ask) -> Result<(), Failure> {
         let rule = self
             .control
             .with(|control| control.inventory.rules.admission);
         if rule == AdmissionRule::Unlimited {
             return Ok(());
         }
-        let Some(wait) = self.expected_wait(ask) else {
+        let Some(wait) = self.expected_wait(request) else {
             return Ok(());
         };
         let now = Instant::now();
-        let whole = ask.deadline.saturating_duration_since(now);
-        let left = whole.saturating_sub(self.service_time(ask));
-        let left = ask
+        let until_deadline = request.deadline.saturating_duration_since(now);
+        let slack = until_deadline.saturating_sub(self.service_time(request));
+        let slack = request
             .first_token_by
-            .map_or(left, |by| by.saturating_duration_since(now).min(left));
-        if wait <= left {
+            .map_or(slack, |by| by.saturating_duration_since(now).min(slack));
+        if wait <= slack {
             return Ok(());
         }
         let message = format!(
-            "the answer is expected to begin in {} ms, {} ms too late",
+            "the expected wait for a slot is {} ms, {} ms longer than the deadlines allow",
             wait.as_millis(),
-            (wait - left).as_millis()
+            (wait - slack).as_millis()
         );
-        let retry_after_s = (wait - left).as_secs_f64().ceil().max(1.0) as u32;
+        let retry_after_s = (wait - slack).as_secs_f64().ceil().max(1.0) as u32;
         Err(Failure::new(Kind::Deadline, message).retry_after_s(retry_after_s))
     }
 
-    /// How long a request would wait for a slot; `None` while no runner serves its model.
-    fn expected_wait(&self, ask: &Ask) -> Option<Duration> {
-        if ask.priority == Priority::Batch {
-            return Some(self.batch_queue.expected_wait(&ask.target.base.model));
+    /// Returns how long a request is expected to wait for a slot; `None` while no runner can serve
+    /// it, unless it is a batch request.
+    fn expected_wait(&self, request: &Ask) -> Option<Duration> {
+        if request.priority == Priority::Batch {
+            return Some(self.batch_queue.expected_wait(&request.target.base.model));
         }
         let peers = self.membership.peer_loads();
-        let service_s = self.service_time(ask).as_secs_f64();
-        let runners = self.scored(&ask.target, false);
+        let service_s = self.service_time(request).as_secs_f64();
+        let runners = self.scored_runners(&request.target, false);
         let waits = runners.iter().filter_map(|(_, runner)| {
             let slots = self.slots_of(runner)?;
-            let load = total(runner, &peers);
-            // Batch requests wait behind this one, or give way to it.
+            let load = total_load(runner, &peers);
+            // Batch requests are not counted: they queue behind this one or yield to it.
             let ahead = (load.all - load.batch + 1).saturating_sub(slots);
             Some(f64::from(ahead) / f64::from(slots.max(1)) * service_s)
         });
@@ -71,51 +72,55 @@
         })
     }
 
-    /// Lets own batch requests give way on a runner where an urgent one found no slot.
-    pub(crate) fn make_room_on(&self, runner: &Runner) {
+    /// Asks one of this VM's batch requests on a runner to yield its slot if others wait for it.
+    pub(crate) fn request_batch_yields(&self, runner: &Runner) {
         let peers = self.membership.peer_loads();
-        if self.batch_yields() && self.urgent_waiting(runner, &peers) > 0 {
+        if self.are_yields_enabled() && self.waiting_behind_batch(runner, &peers) > 0 {
             runner.want_yields(1);
         }
     }
 
-    /// Lets own batch requests give way to peers' urgent ones, until the process ends.
-    pub(crate) async fn keep_room(self: Rc<Self>) {
+    /// Periodically asks this VM's batch requests to yield to waiting requests, including those of
+    /// peers, until the process ends.
+    pub(crate) async fn run_batch_yields(self: Rc<Self>) {
         loop {
-            compio::time::sleep(LOOK_INTERVAL).await;
-            if !self.batch_yields() {
+            compio::time::sleep(YIELD_CHECK_INTERVAL).await;
+            if !self.are_yields_enabled() {
                 continue;
             }
             let peers = self.membership.peer_loads();
             for runner in self.fleet.runners() {
-                runner.want_yields(self.share_of_yields(&runner, &peers));
+                runner.want_yields(self.own_yield_share(&runner, &peers));
             }
         }
     }
 
-    fn batch_yields(&self) -> bool {
+    fn are_yields_enabled(&self) -> bool {
         self.control
             .with(|control| control.inventory.rules.batch_yields)
     }
 
-    /// Urgent requests that wait on a runner because of batch ones.
-    fn urgent_waiting(&self, runner: &Runner, peers: &HashMap<Name, Load>) -> u32 {
-        let load = total(runner, peers);
+    /// Counts the requests other than batch ones that wait on a runner while batch requests hold
+    /// its slots.
+    fn waiting_behind_batch(&self, runner: &Runner, peers: &HashMap<Name, Load>) -> u32 {
+        let load = total_load(runner, peers);
         let slots = self.slots_of(runner).unwrap_or(u32::MAX);
         load.all.saturating_sub(slots).min(load.all - load.batch)
     }
 
-    /// This VM's part of the yields that a runner needs, in proportion to its batch requests.
-    fn share_of_yields(&self, runner: &Runner, peers: &HashMap<Name, Load>) -> u32 {
-        let needed = f64::from(self.urgent_waiting(runner, peers));
-        let batch = f64::from(total(runner, peers).batch.max(1));
+    /// Returns this VM's share of the yields that a runner needs, in proportion to its batch
+    /// requests there.
+    fn own_yield_share(&self, runner: &Runner, peers: &HashMap<Name, Load>) -> u32 {
+        let needed = f64::from(self.waiting_behind_batch(runner, peers));
+        let batch = f64::from(total_load(runner, peers).batch.max(1));
         let share = needed * f64::from(runner.in_flight().batch) / batch;
-        // The rest is drawn, so that small shares are not lost over many VMs.
+        // The fraction is rounded up at random with its own probability: with many VMs, each share
+        // may be below one, and rounding all of them down would yield nothing.
         (share + rand::random::<f64>()).floor() as u32
     }
 }
 
-/// Requests in flight on a runner, of this VM and its peers.
-fn total(runner: &Runner, peers: &HashMap<Name, Load>) -> Load {
+/// Returns the requests in flight on a runner, from this VM and its peers.
+fn total_load(runner: &Runner, peers: &HashMap<Name, Load>) -> Load {
     runner.in_flight() + peers.get(&runner.name).copied().unwrap_or_default()
 }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -39,8 +39,8 @@
         base: artifact(None),
         adapter: Some(artifact(Some("adapter"))),
     };
-    expect_false!(target.is_coming_in(&book(None)));
-    expect_false!(target.is_coming_in(&book(Some(CopyState::Unloading))));
-    expect_true!(target.is_coming_in(&book(Some(CopyState::Loading))));
-    expect_true!(target.is_coming_in(&book(Some(CopyState::Resident))));
+    expect_false!(target.is_resident_or_loading_in(&book(None)));
+    expect_false!(target.is_resident_or_loading_in(&book(Some(CopyState::Unloading))));
+    expect_true!(target.is_resident_or_loading_in(&book(Some(CopyState::Loading))));
+    expect_true!(target.is_resident_or_loading_in(&book(Some(CopyState::Resident))));
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,4 +1,4 @@
-//! Choosing a runner for a request.
+//! Chooses a runner for each request.
 
 use crate::batch_queue::{BatchQueue, Ticket};
 use crate::completion::Ask;
@@ -19,12 +19,12 @@
 pub(crate) struct Target {
     /// The model.
     pub(crate) base: Artifact,
-    /// The adapter over it, if the caller named one.
+    /// The adapter on top of the model, if the request names one.
     pub(crate) adapter: Option<Artifact>,
 }
 
 impl Target {
-    /// The target in force for a caller's model name.
+    /// Resolves the model name of a request to the versions in force; `None` if it is not listed.
     pub(crate) fn resolve(control: &Control, name: &str) -> Option<Self> {
         let artifact = Artifact::resolve(&control.inventory, name)?;
         if artifact.adapter.is_none() {
@@ -44,24 +44,24 @@
         self.artifacts().iter().all(|name| runner.is_ready(name))
     }
 
-    /// Whether a runner holds all that the target needs, or was ordered to load it.
-    pub(crate) fn is_coming_in(&self, book: &RunnerBook) -> bool {
+    /// Whether all artifacts of the target are resident or loading, by a runner's memory ledger.
+    pub(crate) fn is_resident_or_loading_in(&self, memory_ledger: &RunnerBook) -> bool {
         std::iter::once(&self.base)
             .chain(&self.adapter)
-            .all(|artifact| book.is_coming(artifact))
+            .all(|artifact| memory_ledger.is_coming(artifact))
     }
 
-    /// The artifacts by the names that engines use.
+    /// Returns the names of the artifacts, as engines use them.
     pub(crate) fn artifacts(&self) -> Vec<String> {
         let artifacts = std::iter::once(&self.base).chain(&self.adapter);
         artifacts.map(ToString::to_string).collect()
     }
 
-    /// The same target in other versions that some runner may still hold.
-    fn older(&self, control: &Control) -> Vec<Self> {
+    /// Returns the same target in the other versions that the memory ledgers list.
+    fn other_versions(&self, control: &Control) -> Vec<Self> {
         let mut found = Vec::new();
-        for book in control.books.values() {
-            let bases = book
+        for memory_ledger in control.books.values() {
+            let bases = memory_ledger
                 .copies
                 .keys()
                 .filter(|held| held.serves_same(&self.base));
@@ -71,7 +71,7 @@
                         base: base.clone(),
                         adapter: None,
                     }),
-                    Some(adapter) => book
+                    Some(adapter) => memory_ledger
                         .copies
                         .keys()
                         .find(|held| held.serves_same(adapter))
@@ -93,24 +93,26 @@
 pub(crate) struct Choice {
     /// The runner.
     pub(crate) runner: Rc<Runner>,
-    /// What the request runs on there.
+    /// The versions that the request uses there.
     pub(crate) target: Target,
-    /// The load by which it was chosen: requests in flight per slot.
+    /// The score by which the runner was chosen, lowest first: requests per slot, by the routing
+    /// rule in force, plus random noise.
     pub(crate) score: f64,
     /// The other candidates with their scores, for the log.
     pub(crate) others: String,
-    /// When it was chosen.
-    pub(crate) made_at: Instant,
+    /// When the runner was chosen.
+    pub(crate) chosen_at: Instant,
 }
 
-/// Chooses runners by the requests in flight that this VM and its peers know of.
+/// Chooses runners by the routing rule in force; the default rule uses the requests in flight of
+/// this VM and those that its peers report.
 pub(crate) struct Router {
     pub(crate) control: Rc<ControlStream>,
     pub(crate) fleet: Rc<Fleet>,
     pub(crate) membership: Rc<Membership>,
     demand: Rc<Demand>,
     pub(crate) batch_queue: Rc<BatchQueue>,
-    turn: Cell<usize>,
+    round_robin_counter: Cell<usize>,
 }
 
 impl Service for Router {
@@ -118,7 +120,7 @@
 }
 
 impl Router {
-    /// A router over the services it reads.
+    /// Creates a router over the services that it reads.
     pub(crate) fn new(
         control: Rc<ControlStream>,
         fleet: Rc<Fleet>,
@@ -131,78 +133,86 @@
             membership,
             demand,
             batch_queue: Rc::default(),
-            turn: Cell::new(0),
+            round_robin_counter: Cell::new(0),
         }
     }
 
-    /// Counts a request that came, whatever becomes of it.
-    pub(crate) fn note_arrival(&self, ask: &Ask) {
-        self.demand
-            .note_arrival(&ask.target.base.model, ask.priority, ask.max_tokens());
+    /// Counts an arriving request towards the demand, whether or not it is admitted.
+    pub(crate) fn note_arrival(&self, request: &Ask) {
+        self.demand.note_arrival(
+            &request.target.base.model,
+            request.priority,
+            request.max_tokens(),
+        );
     }
 
-    /// Learns from an answer that was complete.
+    /// Updates the estimated service time from a complete answer.
     pub(crate) fn note_answer(&self, tokens: u32, streaming: Duration) {
         self.demand.note_answer(tokens, streaming);
     }
 
-    /// Waits until the choice can be made from a view newer than this VM's last pause.
+    /// Waits until this VM's view of the fleet is newer than its last pause; returns false if that
+    /// cannot be achieved.
     pub(crate) async fn refreshed(&self) -> bool {
         self.membership.refreshed(&self.control).await
     }
 
-    /// Whether a request may still be sent where it was to go when the choice was made.
+    /// Whether a request may still be sent to the chosen runner: this VM has not paused since the
+    /// choice, and the runner is not leaving.
     pub(crate) fn may_send(&self, choice: &Choice) -> bool {
         let runner = &choice.runner.name;
         self.membership
-            .may_send(&self.control, runner, choice.made_at)
+            .may_send(&self.control, runner, choice.chosen_at)
     }
 
-    /// Chooses the least loaded runner that can serve `wanted`.
+    /// Chooses a runner for a request by the routing rule, by default the least loaded one.
     ///
-    /// With `pinned`, only that very version will do. Runners in `avoid` are
-    /// taken only when there is no other.
-    /// With `yields`, runners are left out on which urgent requests should find a slot.
+    /// With `exact_version`, only the versions that the request targets are accepted; otherwise
+    /// other versions are the fallback. Runners in `avoid` are chosen only when there is no other.
+    /// With `keep_urgent_slots`, runners are skipped whose remaining slots are kept for urgent
+    /// requests.
     pub(crate) fn choose(
         &self,
-        ask: &Ask,
-        pinned: bool,
-        yields: bool,
+        request: &Ask,
+        exact_version: bool,
+        keep_urgent_slots: bool,
         avoid: &[Name],
     ) -> Option<Choice> {
-        let wanted = &ask.target;
-        self.choose_for(wanted, yields, avoid).or_else(|| {
-            if pinned {
-                return None;
-            }
-            let older = self.control.with(|control| wanted.older(control));
-            older
-                .iter()
-                .find_map(|target| self.choose_for(target, yields, avoid))
-        })
+        let wanted = &request.target;
+        self.choose_for(wanted, keep_urgent_slots, avoid)
+            .or_else(|| {
+                if exact_version {
+                    return None;
+                }
+                let other_versions = self.control.with(|control| wanted.other_versions(control));
+                other_versions
+                    .iter()
+                    .find_map(|target| self.choose_for(target, keep_urgent_slots, avoid))
+            })
     }
 
-    /// Whether a runner can be expected to serve `wanted` before long.
+    /// Whether a runner is expected to be able to serve `wanted` soon.
     ///
-    /// A copy in some runner's book counts, with its adapter, while the runner answers. Otherwise
-    /// a planner has to load one: for the version in force, over a log that
-    /// takes orders, onto a runner that answers.
-    pub(crate) fn is_coming(&self, wanted: &Target, pinned: bool) -> bool {
+    /// This holds while a runner that answers has all artifacts resident or loading, by its memory
+    /// ledger. Otherwise a planner has to load them, which needs the model to be in force (with
+    /// `exact_version`, in the target's version), a writable log and a runner that answers and is
+    /// not leaving.
+    pub(crate) fn is_coming(&self, wanted: &Target, exact_version: bool) -> bool {
         let answers = |name: &str| self.fleet.runner(name).is_some_and(|it| it.is_answering());
         self.control.with(|control| {
-            let in_book = control
+            let in_ledger = control
                 .books
                 .iter()
-                .any(|(name, book)| wanted.is_coming_in(book) && answers(name));
+                .any(|(name, memory)| wanted.is_resident_or_loading_in(memory) && answers(name));
             let in_force = control
                 .inventory
                 .model(&wanted.base.model)
-                .is_some_and(|model| !pinned || model.version == wanted.base.version);
+                .is_some_and(|model| !exact_version || model.version == wanted.base.version);
             let loadable = || {
                 let mut runners = control.inventory.runners();
                 runners.any(|server| !server.leaving && answers(&server.name))
             };
-            in_book || in_force && self.control.is_writable() && loadable()
+            in_ledger || in_force && self.control.is_writable() && loadable()
         })
     }
 
@@ -210,53 +220,65 @@
         self.control.with(|control| control.inventory.rules.routing)
     }
 
-    /// How long a runner is expected to be busy with a request.
-    pub(crate) fn service_time(&self, ask: &Ask) -> Duration {
-        self.demand.service_time(ask.max_tokens())
+    /// Returns how long a request is expected to occupy a slot.
+    pub(crate) fn service_time(&self, request: &Ask) -> Duration {
+        self.demand.service_time(request.max_tokens())
     }
 
-    /// Whether any runner serves the model, though it may be full for batch requests.
-    pub(crate) fn is_served(&self, wanted: &Target) -> bool {
-        !self.scored(wanted, false).is_empty()
+    /// Whether any runner can serve the target, even if it has no slots left for batch requests.
+    pub(crate) fn has_ready_runner(&self, wanted: &Target) -> bool {
+        !self.scored_runners(wanted, false).is_empty()
     }
 
-    /// Enters a batch request that found no place into the queue of this VM.
-    pub(crate) fn queue(&self, ask: &Ask) -> Ticket {
-        self.batch_queue.enter(&ask.target.base.model, ask.deadline)
+    /// Adds a batch request that found no slot to this VM's queue.
+    pub(crate) fn queue(&self, request: &Ask) -> Ticket {
+        self.batch_queue
+            .enter(&request.target.base.model, request.deadline)
     }
 
-    fn choose_for(&self, target: &Target, yields: bool, avoid: &[Name]) -> Option<Choice> {
-        let mut scored = self.scored(target, yields);
-        if scored
+    /// Chooses a runner for these very versions.
+    fn choose_for(
+        &self,
+        target: &Target,
+        keep_urgent_slots: bool,
+        avoid: &[Name],
+    ) -> Option<Choice> {
+        let mut scored_runners = self.scored_runners(target, keep_urgent_slots);
+        if scored_runners
             .iter()
             .any(|(_, runner)| !avoid.contains(&runner.name))
         {
-            scored.retain(|(_, runner)| !avoid.contains(&runner.name));
+            scored_runners.retain(|(_, runner)| !avoid.contains(&runner.name));
         }
         if self.routing() == RoutingRule::RoundRobin {
-            self.turn.set(self.turn.get() + 1);
-            let first = self.turn.get() % scored.len().max(1);
-            scored.rotate_left(first);
+            self.round_robin_counter
+                .set(self.round_robin_counter.get() + 1);
+            let first = self.round_robin_counter.get() % scored_runners.len().max(1);
+            scored_runners.rotate_left(first);
         } else {
-            scored.sort_by(|left, right| left.0.total_cmp(&right.0));
+            scored_runners.sort_by(|left, right| left.0.total_cmp(&right.0));
         }
         let mut others = String::new();
-        for (score, runner) in scored.iter().skip(1) {
+        for (score, runner) in scored_runners.iter().skip(1) {
             let _ = write!(others, "{}:{score:.2},", runner.name);
         }
-        let (score, runner) = scored.into_iter().next()?;
+        let (score, runner) = scored_runners.into_iter().next()?;
         Some(Choice {
             runner,
             target: target.clone(),
             score,
             others,
-            made_at: Instant::now(),
+            chosen_at: Instant::now(),
         })
     }
 
-    /// The runners that serve `target` with their loads; with `yields`, without those where
-    /// urgent requests should find a slot.
-    pub(crate) fn scored(&self, target: &Target, yields: bool) -> Vec<(f64, Rc<Runner>)> {
+    /// Returns the runners that can serve `target`, with their scores. With `keep_urgent_slots`,
+    /// runners are skipped whose remaining slots are kept for urgent requests.
+    pub(crate) fn scored_runners(
+        &self,
+        target: &Target,
+        keep_urgent_slots: bool,
+    ) -> Vec<(f64, Rc<Runner>)> {
         let peer_loads = self.membership.peer_loads();
         let now_ms = now_ms();
         self.control.with(|control| {
@@ -273,7 +295,9 @@
                     }
                     let peers = peer_loads.get(&runner.name).copied().unwrap_or_default();
                     let in_flight = runner.in_flight().all + peers.all;
-                    if yields && !has_place(&control.inventory.rules, server.slots, in_flight) {
+                    if keep_urgent_slots
+                        && !has_batch_slot(&control.inventory.rules, server.slots, in_flight)
+                    {
                         return None;
                     }
                     let requests = match control.inventory.rules.routing {
@@ -283,7 +307,7 @@
                             .unwrap_or(0),
                         RoutingRule::RoundRobin => 0,
                     };
-                    // A little noise keeps VMs from choosing alike on equal loads.
+                    // Random noise keeps VMs from all choosing the same runner on equal loads.
                     let noise = rand::random::<f64>() * 0.01;
                     let load = f64::from(requests) / f64::from(server.slots.max(1));
                     Some((load + noise, runner))
@@ -293,12 +317,14 @@
     }
 }
 
-/// Whether one more batch request leaves the slots free that urgent ones are to find.
-fn has_place(rules: &Rules, slots: u32, in_flight: u32) -> bool {
+/// Whether one more batch request stays within `batch_fill`, the fraction of a runner's slots that
+/// batch requests may fill.
+fn has_batch_slot(rules: &Rules, slots: u32, in_flight: u32) -> bool {
     rules.batch_fill >= 1.0 || f64::from(in_flight + 1) <= rules.batch_fill * f64::from(slots)
 }
 
-/// The wall clock; one that is off only lets an isolation end early or late.
+/// Returns the wall-clock time in milliseconds since the Unix epoch. A wrong clock only makes an
+/// isolation end early or late.
 fn now_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/server.rs
+++ b/src/server.rs
@@ -142,7 +142,7 @@
     let keeper = Keeper::new(&kernel, config.log_retention_ms);
     compio::runtime::spawn(keeper.run()).detach();
     compio::runtime::spawn(kernel.find::<Planner>().run()).detach();
-    compio::runtime::spawn(kernel.find::<Router>().keep_room()).detach();
+    compio::runtime::spawn(kernel.find::<Router>().run_batch_yields()).detach();
 
     let shutdown: Rc<Shutdown> = kernel.find();
     let operator_shutdown = Rc::new(Shutdown::default());
