--- a/src/demand.rs
+++ b/src/demand.rs
@@ -1,7 +1,7 @@
-//! How much of the runners each model's requests ask for, over all VMs.
+//! Measures the demand for each model, over all VMs.
 //!
-//! Demand is measured in slots: the mean number of requests that would run at
-//! once if each ran as soon as it came. Refused requests count too.
+//! Demand is measured in slots: the mean number of requests that would run concurrently if each
+//! started on arrival. Refused requests count too.
 
 use crate::inventory::{Inventory, Name, Priority};
 use crate::membership::Membership;
@@ -12,50 +12,52 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The time over which demand is averaged.
+/// The time constant of the exponential average over which demand is measured.
 const WINDOW: Duration = Duration::from_secs(3);
-/// Hundredths of a slot, as heartbeats carry demand.
-const CENTISLOTS: f64 = 100.0;
-/// Time of a token before any was seen.
-const FIRST_TOKEN_TIME: Duration = Duration::from_millis(30);
-/// Tokens of an answer before any was seen.
-const FIRST_ANSWER_TOKENS: f64 = 64.0;
-/// The weight of the newest answer in learnt values.
-const LEARNING_RATE: f64 = 0.05;
+/// Scale of the demand in heartbeats, which carry it in hundredths of a slot.
+const CENTISLOTS_PER_SLOT: f64 = 100.0;
+/// The estimated time per token before any answer has completed.
+const INITIAL_TOKEN_TIME: Duration = Duration::from_millis(30);
+/// The estimated number of tokens per answer before any answer has completed.
+const INITIAL_ANSWER_TOKENS: f64 = 64.0;
+/// The weight of the newest answer in the exponentially weighted moving averages.
+const EWMA_WEIGHT: f64 = 0.05;
 
-/// Slots that one model's requests ask for.
+/// The demand for one model, in slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Slots {
-    /// Of urgent requests.
+pub(crate) struct SlotDemand {
+    /// The demand of urgent requests.
     pub(crate) urgent: f64,
-    /// Of all requests.
+    /// The demand of all requests.
     pub(crate) all: f64,
 }
 
-/// A sum that fades over the window.
+/// A sum of demand that decays exponentially with the time constant `WINDOW`.
 #[derive(Clone, Copy, Debug)]
-struct Faded {
-    slots: Slots,
-    at: Instant,
+struct DecayingDemand {
+    slots: SlotDemand,
+    updated_at: Instant,
 }
 
-impl Faded {
-    fn now(&self) -> Slots {
-        let kept = (-self.at.elapsed().as_secs_f64() / WINDOW.as_secs_f64()).exp();
-        Slots {
-            urgent: self.slots.urgent * kept,
-            all: self.slots.all * kept,
+impl DecayingDemand {
+    /// Returns the sum as decayed until now.
+    fn current(&self) -> SlotDemand {
+        let decay = (-self.updated_at.elapsed().as_secs_f64() / WINDOW.as_secs_f64()).exp();
+        SlotDemand {
+            urgent: self.slots.urgent * decay,
+            all: self.slots.all * decay,
         }
     }
 }
 
-/// The demand as this VM measures it and its peers tell it.
+/// The demand that this VM measures and its peers report, and the mean time and length of
+/// answers.
 #[derive(Debug)]
 pub(crate) struct Demand {
     membership: Rc<Membership>,
-    own: RefCell<HashMap<Name, Faded>>,
-    token_s: Cell<f64>,
-    answer_tokens: Cell<f64>,
+    own: RefCell<HashMap<Name, DecayingDemand>>,
+    mean_token_s: Cell<f64>,
+    mean_answer_tokens: Cell<f64>,
 }
 
 impl Service for Demand {
@@ -63,84 +65,88 @@
 }
 
 impl Demand {
-    /// No demand so far.
+    /// Creates a measurement without any demand.
     pub(crate) fn new(membership: Rc<Membership>) -> Self {
         Self {
             membership,
             own: RefCell::default(),
-            token_s: Cell::new(FIRST_TOKEN_TIME.as_secs_f64()),
-            answer_tokens: Cell::new(FIRST_ANSWER_TOKENS),
+            mean_token_s: Cell::new(INITIAL_TOKEN_TIME.as_secs_f64()),
+            mean_answer_tokens: Cell::new(INITIAL_ANSWER_TOKENS),
         }
     }
 
-    /// Counts a request that came, with the tokens it asks for at most.
+    /// Counts an arriving request; `max_tokens` limits the length of its answer, if given.
     pub(crate) fn note_arrival(&self, model: &Name, priority: Priority, max_tokens: Option<u64>) {
         let share = self.service_time(max_tokens).as_secs_f64() / WINDOW.as_secs_f64();
         let mut own = self.own.borrow_mut();
-        let faded = own.entry(model.clone()).or_insert_with(|| Faded {
-            slots: Slots::default(),
-            at: Instant::now(),
+        let decaying = own.entry(model.clone()).or_insert_with(|| DecayingDemand {
+            slots: SlotDemand::default(),
+            updated_at: Instant::now(),
         });
-        faded.slots = faded.now();
-        faded.at = Instant::now();
-        faded.slots.all += share;
+        decaying.slots = decaying.current();
+        decaying.updated_at = Instant::now();
+        decaying.slots.all += share;
         if priority == Priority::Urgent {
-            faded.slots.urgent += share;
+            decaying.slots.urgent += share;
         }
     }
 
-    /// Learns from an answer that was complete.
+    /// Updates the averages from a complete answer of `tokens` tokens that took `streaming` from
+    /// the first token to the last. Answers of fewer than two tokens are ignored.
     pub(crate) fn note_answer(&self, tokens: u32, streaming: Duration) {
         if tokens < 2 {
             return;
         }
         let token_s = streaming.as_secs_f64() / f64::from(tokens - 1);
-        learn(&self.token_s, token_s);
-        learn(&self.answer_tokens, f64::from(tokens));
+        update_average(&self.mean_token_s, token_s);
+        update_average(&self.mean_answer_tokens, f64::from(tokens));
     }
 
-    /// How long a runner is expected to be busy with an answer.
+    /// Returns how long a runner is expected to be busy with an answer of `max_tokens` tokens, or
+    /// of mean length.
     pub(crate) fn service_time(&self, max_tokens: Option<u64>) -> Duration {
-        let tokens = max_tokens.map_or(self.answer_tokens.get(), |tokens| tokens as f64);
-        Duration::from_secs_f64(tokens * self.token_s.get())
+        let tokens = max_tokens.map_or(self.mean_answer_tokens.get(), |tokens| tokens as f64);
+        Duration::from_secs_f64(tokens * self.mean_token_s.get())
     }
 
-    /// This VM's demand, for heartbeats; models without any are left out.
+    /// Returns this VM's demand for heartbeats, without models below a hundredth of a slot.
     pub(crate) fn to_wire(&self, inventory: &Inventory) -> Vec<ModelDemand> {
         let own = self.own.borrow();
         let models = inventory.models.iter().enumerate();
         models
             .filter_map(|(index, model)| {
-                let slots = own.get(&model.name)?.now();
+                let slots = own.get(&model.name)?.current();
                 let demand = ModelDemand {
                     model: index as u32,
-                    urgent_centislots: (slots.urgent * CENTISLOTS) as u32,
-                    all_centislots: (slots.all * CENTISLOTS) as u32,
+                    urgent_centislots: (slots.urgent * CENTISLOTS_PER_SLOT) as u32,
+                    all_centislots: (slots.all * CENTISLOTS_PER_SLOT) as u32,
                 };
                 (demand.all_centislots > 0).then_some(demand)
             })
             .collect()
     }
 
-    /// The demand for each model over all live VMs at the same revision.
-    pub(crate) fn total(&self, inventory: &Inventory, revision: u64) -> HashMap<Name, Slots> {
-        let mut total: HashMap<Name, Slots> = self
+    /// Returns the demand for each model, summed over this VM and its live peers at the same
+    /// revision.
+    pub(crate) fn total(&self, inventory: &Inventory, revision: u64) -> HashMap<Name, SlotDemand> {
+        let mut total: HashMap<Name, SlotDemand> = self
             .own
             .borrow()
             .iter()
-            .map(|(model, faded)| (model.clone(), faded.now()))
+            .map(|(model, decaying)| (model.clone(), decaying.current()))
             .collect();
         for demand in self.membership.peer_demands(revision) {
             if let Some(model) = inventory.models.get(demand.model as usize) {
                 let slots = total.entry(model.name.clone()).or_default();
-                slots.urgent += f64::from(demand.urgent_centislots) / CENTISLOTS;
-                slots.all += f64::from(demand.all_centislots) / CENTISLOTS;
+                slots.urgent += f64::from(demand.urgent_centislots) / CENTISLOTS_PER_SLOT;
+                slots.all += f64::from(demand.all_centislots) / CENTISLOTS_PER_SLOT;
             }
         }
         total
     }
 }
 
-fn learn(value: &Cell<f64>, seen: f64) {
-    value.set(value.get() + LEARNING_RATE * (seen - value.get()));
+/// Moves an exponentially weighted average towards a sample.
+fn update_average(value: &Cell<f64>, sample: f64) {
+    value.set(value.get() + EWMA_WEIGHT * (sample - value.get()));
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,31 +1,34 @@
-//! Deciding what to load and unload, from the books and the inventory alone.
+//! Decides which artifacts to load and unload, from the memory ledgers, the inventory and the
+//! measured demand. It does no I/O.
 
 mod eviction;
 mod replicas;
 
 use crate::control::{Artifact, Control, CopyState, MAX_OPEN_LOADS, RunnerBook};
-use crate::demand::Slots;
+use crate::demand::SlotDemand;
 use crate::inventory::{BackendServer, Model, Name};
 use std::collections::{HashMap, HashSet};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Copies of a model that are made wherever they fit, in different availability zones.
+/// Number of copies of each model to keep while memory is free for them, in different availability
+/// zones where possible.
 const SPARE_REPLICAS: u32 = 2;
 
-/// A decision to change what a runner holds.
+/// A decision to load or unload one artifact on one runner.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Move {
-    /// Load an artifact.
+    /// Loads `artifact`, which takes `mib` MiB, on a runner with `capacity_mib` MiB for weights.
+    /// `others` is for the log: the other candidate runners, or the expected gain in slots.
     Load {
         runner: Name,
         artifact: Artifact,
         mib: u64,
-        room_mib: u64,
+        capacity_mib: u64,
         reason: &'static str,
         others: String,
     },
-    /// Unload an artifact.
+    /// Unloads `artifact`.
     Unload {
         runner: Name,
         artifact: Artifact,
@@ -34,7 +37,7 @@
 }
 
 impl Move {
-    /// What is loaded or unloaded.
+    /// Returns the artifact that is loaded or unloaded.
     fn artifact(&self) -> &Artifact {
         match self {
             Self::Load { artifact, .. } | Self::Unload { artifact, .. } => artifact,
@@ -42,21 +45,21 @@
     }
 }
 
-/// What a plan is made from.
+/// Plans the moves of one group of runners from a snapshot of the control state.
 #[derive(Debug)]
-pub(crate) struct Planning<'a> {
+pub(crate) struct PlacementPlanner<'a> {
     control: &'a Control,
     runners: Vec<&'a BackendServer>,
-    /// The demand for each model.
-    demand: HashMap<Name, Slots>,
-    /// How long a request is expected to take.
+    /// The demand for each model, in slots.
+    demand: HashMap<Name, SlotDemand>,
+    /// The expected duration of a request.
     service_time: Duration,
     /// The hour of the day, UTC.
     hour: u8,
 }
 
-impl<'a> Planning<'a> {
-    /// A planning over the runners of `group` that answer and stay.
+impl<'a> PlacementPlanner<'a> {
+    /// Creates a planner for the runners of `group` that are up and not leaving, without demand.
     pub(crate) fn new(control: &'a Control, group: &str, is_up: impl Fn(&str) -> bool) -> Self {
         let runners = control
             .inventory
@@ -72,10 +75,10 @@
         }
     }
 
-    /// The same planning with what is asked for, and when.
+    /// Sets the demand per model, the expected duration of a request and the hour (UTC).
     pub(crate) fn with_demand(
         mut self,
-        demand: HashMap<Name, Slots>,
+        demand: HashMap<Name, SlotDemand>,
         service_time: Duration,
         hour: u8,
     ) -> Self {
@@ -85,26 +88,28 @@
         self
     }
 
-    /// The moves to make now, the most urgent first.
+    /// Returns the moves to make now: unloads first, then loads by urgency.
+    ///
+    /// The loads are limited so that at most `MAX_OPEN_LOADS` are open at once, over all groups.
     pub(crate) fn moves(&self) -> Vec<Move> {
-        let mut moves = self.unloads();
-        moves.extend(self.shed());
+        let mut moves = self.obsolete_copies();
+        moves.extend(self.unload_excess());
         let budget = MAX_OPEN_LOADS.saturating_sub(self.control.open_loads());
         let mut loads = self.missing_adapters();
-        let lacking = self.lacking();
-        loads.extend(self.place(lacking.iter().copied(), "copy_missing"));
-        if !lacking.is_empty() {
-            moves.extend(self.make_room(&lacking));
+        let under_replicated = self.under_replicated();
+        loads.extend(self.place_copies(under_replicated.iter().copied(), "copy_missing"));
+        if !under_replicated.is_empty() {
+            moves.extend(self.free_memory(&under_replicated));
         } else if loads.is_empty() {
-            for followed in self.follow_demand() {
-                match followed {
-                    Move::Load { .. } => loads.push(followed),
-                    Move::Unload { .. } => moves.push(followed),
+            for planned in self.demand_moves() {
+                match planned {
+                    Move::Load { .. } => loads.push(planned),
+                    Move::Unload { .. } => moves.push(planned),
                 }
             }
         }
-        let is_quiet = loads.is_empty() && self.control.open_loads() == 0;
-        if lacking.is_empty() && is_quiet && !self.wants_room() {
+        let no_loads_open = loads.is_empty() && self.control.open_loads() == 0;
+        if under_replicated.is_empty() && no_loads_open && !self.should_hold_back_spare_copies() {
             loads.extend(self.spare_copies());
         }
         loads.truncate(budget);
@@ -112,7 +117,7 @@
         moves
     }
 
-    fn book(&self, runner: &BackendServer) -> &'a RunnerBook {
+    fn memory_ledger(&self, runner: &BackendServer) -> &'a RunnerBook {
         self.control.book(&runner.name)
     }
 
@@ -135,43 +140,46 @@
         })
     }
 
-    /// Memory that is free and not needed for adapters of models already there.
+    /// Returns the memory in MiB that is neither taken nor needed for the missing adapters of
+    /// models that the runner holds or is loading.
     fn free_mib(&self, runner: &BackendServer) -> u64 {
-        let book = self.book(runner);
-        let owed_mib: u64 = self
+        let memory_ledger = self.memory_ledger(runner);
+        let pending_adapters_mib: u64 = self
             .control
             .inventory
             .models
             .iter()
-            .filter(|model| book.is_coming(&Self::artifact(model)))
+            .filter(|model| memory_ledger.is_coming(&Self::artifact(model)))
             .flat_map(Self::adapters)
-            .filter(|(adapter, _)| !book.copies.contains_key(adapter))
+            .filter(|(adapter, _)| !memory_ledger.copies.contains_key(adapter))
             .map(|(_, mib)| mib)
             .sum();
         runner
             .weights_room_mib()
-            .saturating_sub(book.taken_mib() + owed_mib)
+            .saturating_sub(memory_ledger.taken_mib() + pending_adapters_mib)
     }
 
+    /// Returns the runners on which the model's listed version is resident or loading.
     fn holders(&self, model: &Model) -> Vec<&'a BackendServer> {
         let artifact = Self::artifact(model);
         self.runners
             .iter()
-            .filter(|runner| self.book(runner).is_coming(&artifact))
+            .filter(|runner| self.memory_ledger(runner).is_coming(&artifact))
             .copied()
             .collect()
     }
 
+    /// Loads the adapters that are missing on runners where their model is resident.
     fn missing_adapters(&self) -> Vec<Move> {
         let mut loads = Vec::new();
         for runner in &self.runners {
-            let book = self.book(runner);
+            let memory_ledger = self.memory_ledger(runner);
             for model in &self.control.inventory.models {
-                if !book.is_resident(&Self::artifact(model)) {
+                if !memory_ledger.is_resident(&Self::artifact(model)) {
                     continue;
                 }
                 for (artifact, mib) in Self::adapters(model) {
-                    let absent = book
+                    let absent = memory_ledger
                         .copies
                         .get(&artifact)
                         .is_none_or(|copy| copy.state == CopyState::Reserved);
@@ -180,7 +188,7 @@
                             runner: runner.name.clone(),
                             artifact,
                             mib,
-                            room_mib: runner.weights_room_mib(),
+                            capacity_mib: runner.weights_room_mib(),
                             reason: "adapter_missing",
                             others: String::new(),
                         });
@@ -191,8 +199,9 @@
         loads
     }
 
-    /// Models with too few copies, those without any first.
-    fn lacking(&self) -> Vec<&'a Model> {
+    /// Returns the models with fewer than `min_replicas` copies, ordered by the number of copies,
+    /// then by size, largest first.
+    fn under_replicated(&self) -> Vec<&'a Model> {
         let mut models: Vec<(usize, &Model)> = self
             .control
             .inventory
@@ -205,30 +214,31 @@
         models.into_iter().map(|(_, model)| model).collect()
     }
 
+    /// Loads one more copy of models that have at least one but fewer than `SPARE_REPLICAS`.
     fn spare_copies(&self) -> Vec<Move> {
         let models = self.control.inventory.models.iter().filter(|model| {
             let copies = self.holders(model).len() as u32;
             copies > 0 && copies < SPARE_REPLICAS.max(model.min_replicas)
         });
-        self.place(models, "spare_copy")
+        self.place_copies(models, "spare_copy")
     }
 
-    /// Places one more copy of each model, at most one new copy on a runner.
-    fn place<'m>(
+    /// Loads one more copy of each model where it fits, with at most one new copy per runner.
+    fn place_copies<'m>(
         &self,
         models: impl Iterator<Item = &'m Model>,
         reason: &'static str,
     ) -> Vec<Move> {
-        let mut taken = HashSet::new();
+        let mut used_runners = HashSet::new();
         let mut loads = Vec::new();
         for model in models {
-            if let Some((runner, others)) = self.best_runner(model, &taken) {
-                taken.insert(runner.name.clone());
+            if let Some((runner, others)) = self.best_runner(model, &used_runners) {
+                used_runners.insert(runner.name.clone());
                 loads.push(Move::Load {
                     runner: runner.name.clone(),
                     artifact: Self::artifact(model),
                     mib: model.weights_mib,
-                    room_mib: runner.weights_room_mib(),
+                    capacity_mib: runner.weights_room_mib(),
                     reason,
                     others,
                 });
@@ -237,11 +247,12 @@
         loads
     }
 
-    /// The runner with the most free memory, in a zone without a copy if there is one.
+    /// Selects the runner with the most free memory, with `spread_zones` preferring availability
+    /// zones without a copy. Also returns the other candidates with their free MiB, for the log.
     fn best_runner(
         &self,
         model: &Model,
-        taken: &HashSet<Name>,
+        used_runners: &HashSet<Name>,
     ) -> Option<(&'a BackendServer, String)> {
         let zones: HashSet<&Name> = self
             .holders(model)
@@ -252,9 +263,9 @@
         let mut fitting: Vec<(bool, u64, &BackendServer)> = self
             .runners
             .iter()
-            .filter(|runner| !taken.contains(&runner.name))
+            .filter(|runner| !used_runners.contains(&runner.name))
             .filter(|runner| {
-                self.book(runner)
+                self.memory_ledger(runner)
                     .copies
                     .get(&artifact)
                     .is_none_or(|copy| copy.state == CopyState::Reserved)
@@ -262,7 +273,7 @@
             .map(|runner| {
                 let new_zone = self.control.inventory.rules.spread_zones
                     && !zones.contains(&runner.availability_zone);
-                let reserved_mib = self.book(runner).reserved_mib(&artifact);
+                let reserved_mib = self.memory_ledger(runner).reserved_mib(&artifact);
                 (new_zone, self.free_mib(runner) + reserved_mib, *runner)
             })
             .filter(|(_, free_mib, _)| *free_mib >= model.resident_mib())
@@ -275,17 +286,18 @@
         fitting.first().map(|(_, _, runner)| (*runner, others))
     }
 
-    fn unloads(&self) -> Vec<Move> {
+    /// Unloads artifacts that are no longer needed, except the last ready copy of a listed one.
+    fn obsolete_copies(&self) -> Vec<Move> {
         let mut unloads = Vec::new();
         for runner in &self.runners {
-            let book = self.book(runner);
-            for (artifact, copy) in &book.copies {
+            let memory_ledger = self.memory_ledger(runner);
+            for (artifact, copy) in &memory_ledger.copies {
                 if copy.state != CopyState::Resident
                     || self.control.is_last_copy(&runner.name, artifact)
                 {
                     continue;
                 }
-                if let Some(reason) = self.reason_to_unload(book, artifact) {
+                if let Some(reason) = self.reason_to_unload(memory_ledger, artifact) {
                     unloads.push(Move::Unload {
                         runner: runner.name.clone(),
                         artifact: artifact.clone(),
@@ -297,7 +309,15 @@
         unloads
     }
 
-    fn reason_to_unload(&self, book: &RunnerBook, artifact: &Artifact) -> Option<&'static str> {
+    /// Returns why an artifact is no longer needed, or `None` if it is.
+    ///
+    /// A replaced version is unloaded once `min_replicas` copies of the current version are
+    /// resident, and as many runners hold the current model with all its adapters.
+    fn reason_to_unload(
+        &self,
+        memory_ledger: &RunnerBook,
+        artifact: &Artifact,
+    ) -> Option<&'static str> {
         let Some(model) = self.control.inventory.model(&artifact.model) else {
             return Some("model_not_listed");
         };
@@ -312,7 +332,7 @@
             },
         };
         if current == *artifact {
-            return is_orphan(book, artifact).then_some("adapter_without_model");
+            return is_orphan(memory_ledger, artifact).then_some("adapter_without_model");
         }
         let copies = self.control.resident_on(&current).count();
         let complete = self.complete_copies(model);
@@ -320,24 +340,25 @@
             .then_some("version_replaced")
     }
 
-    /// Runners that hold the model in force with all its adapters.
+    /// Counts the runners on which the current version of the model and of all its adapters is
+    /// resident.
     fn complete_copies(&self, model: &Model) -> usize {
         self.runners
             .iter()
             .filter(|runner| {
-                let book = self.book(runner);
-                book.is_resident(&Self::artifact(model))
-                    && Self::adapters(model).all(|(adapter, _)| book.is_resident(&adapter))
+                let memory_ledger = self.memory_ledger(runner);
+                memory_ledger.is_resident(&Self::artifact(model))
+                    && Self::adapters(model).all(|(adapter, _)| memory_ledger.is_resident(&adapter))
             })
             .count()
     }
 }
 
-/// Whether an adapter lies on a runner that does not hold its model in any version.
-fn is_orphan(book: &RunnerBook, artifact: &Artifact) -> bool {
+/// Whether the artifact is an adapter on a runner that holds no version of its model.
+fn is_orphan(memory_ledger: &RunnerBook, artifact: &Artifact) -> bool {
     artifact.adapter.is_some()
-        && !book
+        && !memory_ledger
             .copies
             .keys()
-            .any(|held| held.model == artifact.model && held.adapter.is_none())
+            .any(|other| other.model == artifact.model && other.adapter.is_none())
 }
--- a/src/placement/eviction.rs
+++ b/src/placement/eviction.rs
@@ -1,18 +1,20 @@
-//! Making room for a copy that fits nowhere, at the cost of copies that can be spared.
+//! Frees memory for a model that fits on no runner by evicting copies that are not required.
 
-use super::{Move, Planning};
+use super::{Move, PlacementPlanner};
 use crate::control::{Artifact, CopyState, RunnerBook};
 use crate::inventory::{BackendServer, Model};
 
-impl<'a> Planning<'a> {
-    /// Unloads that let the first model without room fit on one runner.
+impl<'a> PlacementPlanner<'a> {
+    /// Returns the unloads that let the first model that fits nowhere fit on one runner. Among the
+    /// runners, the one that evicts the least memory is chosen.
     ///
-    /// One model at a time: what was freed is looked at again before more goes.
-    pub(super) fn make_room(&self, lacking: &[&Model]) -> Vec<Move> {
-        if self.is_freeing() {
+    /// Only one model is handled at a time, and none while an unload is open, so that the memory
+    /// already freed is taken into account before more copies are evicted.
+    pub(super) fn free_memory(&self, under_replicated: &[&Model]) -> Vec<Move> {
+        if self.is_unloading() {
             return Vec::new();
         }
-        let Some(model) = lacking
+        let Some(model) = under_replicated
             .iter()
             .find(|model| self.best_runner(model, &Default::default()).is_none())
         else {
@@ -20,84 +22,93 @@
         };
         self.runners
             .iter()
-            .filter(|runner| !self.book(runner).is_coming(&Self::artifact(model)))
-            .filter_map(|runner| self.spared_for(model, runner))
+            .filter(|runner| !self.memory_ledger(runner).is_coming(&Self::artifact(model)))
+            .filter_map(|runner| self.evictions_for(model, runner))
             .min_by_key(|(freed_mib, _)| *freed_mib)
             .map_or_else(Vec::new, |(_, unloads)| unloads)
     }
 
-    pub(super) fn is_freeing(&self) -> bool {
+    /// Whether any copy is being unloaded.
+    pub(super) fn is_unloading(&self) -> bool {
         self.runners.iter().any(|runner| {
-            let book = self.book(runner);
-            book.copies
+            let memory_ledger = self.memory_ledger(runner);
+            memory_ledger
+                .copies
                 .values()
                 .any(|copy| copy.state == CopyState::Unloading)
         })
     }
 
-    /// Unloads on a runner whose memory was made smaller than what it holds.
-    pub(super) fn shed(&self) -> Vec<Move> {
-        if self.is_freeing() {
+    /// Returns unloads for the first runner whose capacity was reduced below the memory that is
+    /// taken.
+    pub(super) fn unload_excess(&self) -> Vec<Move> {
+        if self.is_unloading() {
             return Vec::new();
         }
         let mut overfull = self.runners.iter().map(|runner| {
-            let taken_mib = self.book(runner).taken_mib();
+            let taken_mib = self.memory_ledger(runner).taken_mib();
             let over_mib = taken_mib.saturating_sub(runner.weights_room_mib());
-            self.spares(runner, over_mib, "memory_made_smaller").1
+            self.evict_copies(runner, over_mib, "memory_made_smaller").1
         });
         overfull
             .find(|unloads| !unloads.is_empty())
             .unwrap_or_default()
     }
 
-    /// The copies to give up on a runner for one of `model`, and their memory.
-    fn spared_for(&self, model: &Model, runner: &BackendServer) -> Option<(u64, Vec<Move>)> {
-        let reserved_mib = self.book(runner).reserved_mib(&Self::artifact(model));
+    /// Returns the unloads that make room for a copy of `model` on a runner, with the MiB freed.
+    ///
+    /// Returns `None` when they cannot free enough memory or none is needed.
+    fn evictions_for(&self, model: &Model, runner: &BackendServer) -> Option<(u64, Vec<Move>)> {
+        let reserved_mib = self
+            .memory_ledger(runner)
+            .reserved_mib(&Self::artifact(model));
         let free_mib = self.free_mib(runner) + reserved_mib;
         let missing_mib = model.resident_mib().saturating_sub(free_mib);
-        let (freed_mib, unloads) = self.spares(runner, missing_mib, "room_needed");
+        let (freed_mib, unloads) = self.evict_copies(runner, missing_mib, "room_needed");
         (freed_mib >= missing_mib && !unloads.is_empty()).then_some((freed_mib, unloads))
     }
 
-    /// Copies on a runner that can be spared, until they make `needed_mib`.
-    fn spares(
+    /// Selects models on a runner that are not required, until they free `needed_mib` or none is
+    /// left. Returns the MiB freed and the unloads.
+    fn evict_copies(
         &self,
         runner: &BackendServer,
         needed_mib: u64,
         reason: &'static str,
     ) -> (u64, Vec<Move>) {
-        let book = self.book(runner);
+        let memory_ledger = self.memory_ledger(runner);
         let mut freed_mib = 0;
         let mut unloads = Vec::new();
-        for base in book.copies.keys() {
+        for base in memory_ledger.copies.keys() {
             if freed_mib >= needed_mib {
                 break;
             }
-            if !self.can_spare(runner, book, base) {
+            if !self.can_spare(runner, memory_ledger, base) {
                 continue;
             }
-            let whole = self.unload_whole(runner, base, reason);
-            freed_mib += whole
+            let model_unloads = self.unload_with_adapters(runner, base, reason);
+            freed_mib += model_unloads
                 .iter()
-                .filter_map(|unload| book.copies.get(unload.artifact()))
+                .filter_map(|unload| memory_ledger.copies.get(unload.artifact()))
                 .map(|copy| copy.mib)
                 .sum::<u64>();
-            unloads.extend(whole);
+            unloads.extend(model_unloads);
         }
         (freed_mib, unloads)
     }
 
-    /// Unloads of a model and of its adapters on a runner.
-    pub(super) fn unload_whole(
+    /// Returns the unloads of a model and its adapters on a runner.
+    pub(super) fn unload_with_adapters(
         &self,
         runner: &BackendServer,
         base: &Artifact,
         reason: &'static str,
     ) -> Vec<Move> {
-        let book = self.book(runner);
-        book.copies
+        let memory_ledger = self.memory_ledger(runner);
+        memory_ledger
+            .copies
             .keys()
-            .filter(|artifact| *artifact == base || is_adapter_of(artifact, base, book))
+            .filter(|artifact| *artifact == base || is_adapter_of(artifact, base, memory_ledger))
             .map(|artifact| Move::Unload {
                 runner: runner.name.clone(),
                 artifact: artifact.clone(),
@@ -106,17 +117,21 @@
             .collect()
     }
 
-    /// Whether enough other copies of the model are ready without this one.
+    /// Whether the copy of a model can be evicted: enough other runners are ready with the model
+    /// and all its adapters.
+    ///
+    /// The current version needs `min_replicas` others, and at least one; an older version needs
+    /// one. Adapters are evicted only together with their model.
     pub(super) fn can_spare(
         &self,
         runner: &BackendServer,
-        book: &RunnerBook,
+        memory_ledger: &RunnerBook,
         base: &Artifact,
     ) -> bool {
         let Some(model) = self.control.inventory.model(&base.model) else {
             return false;
         };
-        if base.adapter.is_some() || !book.is_resident(base) {
+        if base.adapter.is_some() || !memory_ledger.is_resident(base) {
             return false;
         }
         let is_current = model.version == base.version;
@@ -126,30 +141,33 @@
             1
         };
         let others = self.runners.iter().filter(|other| {
-            let held = self.book(other);
-            other.name != runner.name && self.serves_whole(held, model, base)
+            let other_ledger = self.memory_ledger(other);
+            other.name != runner.name && self.is_complete_on(other_ledger, model, base)
         });
         others.count() >= needed as usize
     }
 
-    /// Whether a runner holds the base, or the one in force, with all its adapters.
-    fn serves_whole(&self, book: &RunnerBook, model: &Model, base: &Artifact) -> bool {
-        let has_base = book.is_resident(base) || book.is_resident(&Self::artifact(model));
+    /// Whether `base` or the current version of the model is resident on a runner, along with
+    /// some version of each adapter.
+    fn is_complete_on(&self, memory_ledger: &RunnerBook, model: &Model, base: &Artifact) -> bool {
+        let has_base =
+            memory_ledger.is_resident(base) || memory_ledger.is_resident(&Self::artifact(model));
         has_base
             && Self::adapters(model).all(|(adapter, _)| {
-                book.copies.iter().any(|(held, copy)| {
+                memory_ledger.copies.iter().any(|(held, copy)| {
                     held.serves_same(&adapter) && copy.state == CopyState::Resident
                 })
             })
     }
 }
 
-/// Whether an adapter goes with its model, since no other version of the model stays.
-fn is_adapter_of(artifact: &Artifact, base: &Artifact, book: &RunnerBook) -> bool {
+/// Whether an artifact is a resident adapter of the model of `base`, and `base` is the runner's
+/// only version of that model. Otherwise the adapter stays for the other version.
+fn is_adapter_of(artifact: &Artifact, base: &Artifact, memory_ledger: &RunnerBook) -> bool {
     artifact.adapter.is_some()
         && artifact.model == base.model
-        && book.is_resident(artifact)
-        && !book
+        && memory_ledger.is_resident(artifact)
+        && !memory_ledger
             .copies
             .keys()
             .any(|other| other.serves_same(base) && other != base)
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -1,44 +1,48 @@
-//! Copies that follow the demand: which model gains one, where, and in whose place.
+//! Adjusts the number of copies to the demand: selects the model that gets one more copy, the
+//! runner that loads it, and the model that is evicted for it.
 
-use super::{Move, Planning};
+use super::{Move, PlacementPlanner};
 use crate::control::CopyState;
-use crate::demand::Slots;
+use crate::demand::SlotDemand;
 use crate::inventory::{BackendServer, Model, MovePolicy, Name, PlacementRule};
 use std::collections::HashMap;
 
-/// Parts in which a model's demand is spread over its copies.
-const PARTS: u32 = 16;
-/// The load of a runner, in parts of its slots, above which urgent requests would feel it.
-const FULL: f64 = 0.8;
-/// What a slot of demand that is not urgent counts for.
+/// Number of equal shares in which a model's demand is assigned to its copies.
+const SPREAD_STEPS: u32 = 16;
+/// Highest load of a runner, as a fraction of its slots, that does not delay urgent requests.
+const MAX_UTILISATION: f64 = 0.8;
+/// Weight of demand that is not urgent, relative to urgent demand.
 const BATCH_WEIGHT: f64 = 0.25;
-/// Models looked at in one planning, the shortest of slots first.
-const CANDIDATES: usize = 3;
+/// Maximum number of overloaded models considered per planning pass, by weighted demand, highest
+/// first.
+const MAX_CANDIDATES: usize = 3;
 
-/// Load by runner, once each model's demand is spread over its copies.
+/// Load of each runner in slots, once each model's demand is spread over its copies.
 #[derive(Clone, Debug)]
-struct Spread<'a> {
+struct LoadSpread<'a> {
     loads: HashMap<&'a Name, f64>,
 }
 
-/// One more copy of a model, and what it takes.
+/// A possible additional copy of a model, with the model to evict for it, if any, and the slots
+/// of excess demand that it would serve.
 #[derive(Debug)]
-struct Gain<'a> {
+struct CopyCandidate<'a> {
     model: &'a Model,
     runner: &'a BackendServer,
     victim: Option<&'a Model>,
-    slots: f64,
+    gained_slots: f64,
 }
 
+/// The runners on which each model is resident or loading.
 type Holders<'a> = HashMap<&'a Name, Vec<&'a BackendServer>>;
 
-impl<'a> Planning<'a> {
-    /// Moves by which copies follow the demand, as the placement rule says.
-    pub(crate) fn follow_demand(&self) -> Vec<Move> {
+impl<'a> PlacementPlanner<'a> {
+    /// Returns the moves that adjust the copies to the demand under the placement rule in force.
+    pub(crate) fn demand_moves(&self) -> Vec<Move> {
         match self.control.inventory.rules.placement {
             PlacementRule::Static => Vec::new(),
             PlacementRule::OnDemand => self.on_demand(),
-            PlacementRule::Demand => self.worthwhile(),
+            PlacementRule::Demand => self.best_demand_move(),
         }
     }
 
@@ -49,23 +53,28 @@
             .collect()
     }
 
-    fn slots(&self, model: &Name) -> Slots {
+    fn demand_for(&self, model: &Name) -> SlotDemand {
         self.demand.get(model).copied().unwrap_or_default()
     }
 
-    /// The demand that copies are kept for: urgent bursts count whole, batch in part.
-    fn weighted(&self, model: &Name) -> f64 {
-        let slots = self.slots(model);
+    /// Returns the demand, in slots, that copies are planned for. Urgent demand is multiplied by
+    /// `burst_factor`, so that copies are ready before a burst; other demand counts in part.
+    fn weighted_demand(&self, model: &Name) -> f64 {
+        let demand = self.demand_for(model);
         let burst_factor = self.control.inventory.rules.moves.burst_factor;
-        burst_factor * slots.urgent + BATCH_WEIGHT * (slots.all - slots.urgent)
+        burst_factor * demand.urgent + BATCH_WEIGHT * (demand.all - demand.urgent)
     }
 
-    /// Spreads each model's demand over its copies, always to the one with the least load.
-    fn spread(&self, holders: &Holders<'a>, demand: impl Fn(&Name) -> f64) -> Spread<'a> {
+    /// Spreads each model's demand over its copies, assigning each share to the least loaded one.
+    fn spread_demand(
+        &self,
+        holders: &Holders<'a>,
+        demand: impl Fn(&Name) -> f64,
+    ) -> LoadSpread<'a> {
         let mut loads: HashMap<&Name, f64> = HashMap::new();
-        for _ in 0..PARTS {
+        for _ in 0..SPREAD_STEPS {
             for (model, held_by) in holders {
-                let part = demand(model) / f64::from(PARTS);
+                let part = demand(model) / f64::from(SPREAD_STEPS);
                 let load = |runner: &&BackendServer| {
                     loads.get(&runner.name).copied().unwrap_or(0.0) / f64::from(runner.slots.max(1))
                 };
@@ -77,88 +86,91 @@
                 }
             }
         }
-        Spread { loads }
+        LoadSpread { loads }
     }
 
-    /// Slots of demand above what the runners take without being felt.
-    fn unserved(&self, spread: &Spread<'_>) -> f64 {
-        let over = |runner: &&BackendServer| {
+    /// Returns the demand, in slots, above `MAX_UTILISATION`, summed over the runners.
+    fn excess_slots(&self, spread: &LoadSpread<'_>) -> f64 {
+        let excess = |runner: &&BackendServer| {
             let load = spread.loads.get(&runner.name).copied().unwrap_or(0.0);
-            (load - FULL * f64::from(runner.slots)).max(0.0)
+            (load - MAX_UTILISATION * f64::from(runner.slots)).max(0.0)
         };
-        self.runners.iter().map(over).sum()
+        self.runners.iter().map(excess).sum()
     }
 
-    /// The load of a model's least loaded copy, in parts of the runner's slots.
-    fn pressure(&self, spread: &Spread<'_>, held_by: &[&BackendServer]) -> f64 {
+    /// Returns the load of the model's least loaded runner, as a fraction of the runner's slots;
+    /// infinity without a copy.
+    fn min_utilisation(&self, spread: &LoadSpread<'_>, held_by: &[&BackendServer]) -> f64 {
         let load = |runner: &&BackendServer| {
             spread.loads.get(&runner.name).copied().unwrap_or(0.0) / f64::from(runner.slots.max(1))
         };
         held_by.iter().map(load).fold(f64::INFINITY, f64::min)
     }
 
-    /// Models whose copies are all loaded above `full`, the most demanded first.
-    fn short_models(
+    /// Returns the models whose copies are all loaded above `max_utilisation`, by weighted demand,
+    /// highest first. Models with a copy being loaded are left out.
+    fn overloaded_models(
         &self,
         holders: &Holders<'a>,
-        spread: &Spread<'_>,
-        full: f64,
+        spread: &LoadSpread<'_>,
+        max_utilisation: f64,
     ) -> Vec<&'a Model> {
-        let mut short: Vec<&Model> = self
+        let mut overloaded: Vec<&Model> = self
             .control
             .inventory
             .models
             .iter()
             .filter(|model| !self.is_loading(model))
-            .filter(|model| self.pressure(spread, &holders[&model.name]) > full)
+            .filter(|model| self.min_utilisation(spread, &holders[&model.name]) > max_utilisation)
             .collect();
-        short.sort_by(|left, right| {
-            let key = |model: &Model| self.weighted(&model.name);
+        overloaded.sort_by(|left, right| {
+            let key = |model: &Model| self.weighted_demand(&model.name);
             key(right).total_cmp(&key(left))
         });
-        short
+        overloaded
     }
 
     fn is_loading(&self, model: &Model) -> bool {
         let artifact = Self::artifact(model);
         self.runners.iter().any(|runner| {
-            let book = self.book(runner);
-            let copy = book.copies.get(&artifact);
+            let memory_ledger = self.memory_ledger(runner);
+            let copy = memory_ledger.copies.get(&artifact);
             copy.is_some_and(|copy| copy.state == CopyState::Loading)
         })
     }
 
-    /// A copy for each model whose copies are full, at once.
+    /// Loads a copy of each model whose demand exceeds the slots of its copies, whatever it costs.
     fn on_demand(&self) -> Vec<Move> {
         let holders = self.all_holders();
-        let spread = self.spread(&holders, |model| self.slots(model).all);
+        let spread = self.spread_demand(&holders, |model| self.demand_for(model).all);
         let mut moves = Vec::new();
-        for model in self.short_models(&holders, &spread, 1.0) {
-            let mut free: Vec<&BackendServer> = self.without(model, &holders);
-            free.sort_by(|left, right| {
+        for model in self.overloaded_models(&holders, &spread, 1.0) {
+            let mut candidates: Vec<&BackendServer> = self.runners_without(model, &holders);
+            candidates.sort_by(|left, right| {
                 let load = |runner: &BackendServer| spread.loads.get(&runner.name).copied();
                 load(left)
                     .unwrap_or(0.0)
                     .total_cmp(&load(right).unwrap_or(0.0))
             });
-            let place = free.into_iter().find_map(|runner| {
+            let runner_and_victim = candidates.into_iter().find_map(|runner| {
                 let victim = self.victim(runner, model)?;
                 Some((runner, victim))
             });
-            if let Some((runner, victim)) = place {
-                let gain = Gain {
+            if let Some((runner, victim)) = runner_and_victim {
+                let candidate = CopyCandidate {
                     model,
                     runner,
                     victim,
-                    slots: 0.0,
+                    gained_slots: 0.0,
                 };
-                moves.extend(self.to_moves(&gain, "on_demand"));
+                moves.extend(self.to_moves(&candidate, "on_demand"));
             }
         }
         moves
     }
 
-    fn without(&self, model: &Model, holders: &Holders<'a>) -> Vec<&'a BackendServer> {
+    /// Returns the runners on which the model is not in memory and that may load it.
+    fn runners_without(&self, model: &Model, holders: &Holders<'a>) -> Vec<&'a BackendServer> {
         let held_by = &holders[&model.name];
         let holds = |runner: &BackendServer| held_by.iter().any(|held| held.name == runner.name);
         let artifact = Self::artifact(model);
@@ -166,23 +178,24 @@
             .iter()
             .filter(|runner| !holds(runner))
             .filter(|runner| {
-                let book = self.book(runner);
-                let copy = book.copies.get(&artifact);
+                let memory_ledger = self.memory_ledger(runner);
+                let copy = memory_ledger.copies.get(&artifact);
                 copy.is_none_or(|copy| copy.state == CopyState::Reserved)
             })
             .copied()
             .collect()
     }
 
-    /// What has to go from a runner for one more copy: nothing, or the least demanded copy.
+    /// Selects the model to evict from a runner to make room for a copy of `model`: the one with
+    /// the lowest weighted demand, or `Some(None)` when the copy fits without an eviction.
     ///
-    /// `None` when there is no room to be made.
+    /// Returns `None` when no model can be evicted that frees enough memory.
     #[expect(
         clippy::option_option,
-        reason = "no room and no need of a victim differ"
+        reason = "no possible eviction and no need of one differ"
     )]
     fn victim(&self, runner: &BackendServer, model: &Model) -> Option<Option<&'a Model>> {
-        let book = self.book(runner);
+        let memory_ledger = self.memory_ledger(runner);
         let free_mib = self.free_mib(runner);
         if free_mib >= model.resident_mib() {
             return Some(None);
@@ -191,62 +204,68 @@
             .inventory
             .models
             .iter()
-            .filter(|other| self.can_spare(runner, book, &Self::artifact(other)))
+            .filter(|other| self.can_spare(runner, memory_ledger, &Self::artifact(other)))
             .filter(|other| free_mib + other.resident_mib() >= model.resident_mib())
             .min_by(|left, right| {
-                let key = |model: &Model| self.weighted(&model.name);
+                let key = |model: &Model| self.weighted_demand(&model.name);
                 key(left).total_cmp(&key(right))
             })
             .map(Some)
     }
 
-    /// The one change that pays most, if it pays at all.
-    fn worthwhile(&self) -> Vec<Move> {
-        if self.is_moving() {
+    /// Returns the moves for the one additional copy that serves the most excess demand, if that is
+    /// worth the cost.
+    fn best_demand_move(&self) -> Vec<Move> {
+        if self.is_loading_or_unloading() {
             return Vec::new();
         }
         let holders = self.all_holders();
-        let weighted = |model: &Name| self.weighted(model);
-        let spread = self.spread(&holders, weighted);
-        let before = self.unserved(&spread);
-        if before <= 0.0 {
+        let weighted_demand = |model: &Name| self.weighted_demand(model);
+        let spread = self.spread_demand(&holders, weighted_demand);
+        let excess_before = self.excess_slots(&spread);
+        if excess_before <= 0.0 {
             return Vec::new();
         }
-        let mut best: Option<Gain<'_>> = None;
-        let short = self.short_models(&holders, &spread, FULL);
-        for model in short.into_iter().take(CANDIDATES) {
-            for runner in self.without(model, &holders) {
+        let mut best: Option<CopyCandidate<'_>> = None;
+        let overloaded = self.overloaded_models(&holders, &spread, MAX_UTILISATION);
+        for model in overloaded.into_iter().take(MAX_CANDIDATES) {
+            for runner in self.runners_without(model, &holders) {
                 let Some(victim) = self.victim(runner, model) else {
                     continue;
                 };
-                let after = self.after(&holders, model, runner, victim);
-                let slots = before - self.unserved(&self.spread(&after, weighted));
-                if best.as_ref().is_none_or(|best| slots > best.slots) {
-                    best = Some(Gain {
+                let after = self.holders_after(&holders, model, runner, victim);
+                let gained_slots =
+                    excess_before - self.excess_slots(&self.spread_demand(&after, weighted_demand));
+                if best
+                    .as_ref()
+                    .is_none_or(|best| gained_slots > best.gained_slots)
+                {
+                    best = Some(CopyCandidate {
                         model,
                         runner,
                         victim,
-                        slots,
+                        gained_slots,
                     });
                 }
             }
         }
         match best {
-            Some(gain) if self.pays(&gain) => self.to_moves(&gain, "demand"),
+            Some(best) if self.is_worth_cost(&best) => self.to_moves(&best, "demand"),
             _ => Vec::new(),
         }
     }
 
-    /// Whether any copy is on its way in or out.
-    fn is_moving(&self) -> bool {
+    /// Whether any copy is being loaded or unloaded.
+    fn is_loading_or_unloading(&self) -> bool {
         self.runners.iter().any(|runner| {
-            let book = self.book(runner);
-            let mut copies = book.copies.values();
+            let memory_ledger = self.memory_ledger(runner);
+            let mut copies = memory_ledger.copies.values();
             copies.any(|copy| matches!(copy.state, CopyState::Loading | CopyState::Unloading))
         })
     }
 
-    fn after(
+    /// Returns the holders once `model` is loaded on `runner` and `victim` is unloaded there.
+    fn holders_after(
         &self,
         holders: &Holders<'a>,
         model: &'a Model,
@@ -261,43 +280,50 @@
         after
     }
 
-    /// Requests served better over the pay-back time against the cost of the moves.
-    fn pays(&self, gain: &Gain<'_>) -> bool {
+    /// Whether the requests that gain a slot over the pay-back time outweigh the cost of the moves,
+    /// which is counted in requests as well.
+    fn is_worth_cost(&self, candidate: &CopyCandidate<'_>) -> bool {
         let policy = &self.control.inventory.rules.moves;
         let payback_s = policy.payback_ms as f64 / 1_000.0;
-        let requests = gain.slots / self.service_time.as_secs_f64().max(f64::EPSILON) * payback_s;
-        let moves = 1.0 + f64::from(u8::from(gain.victim.is_some()));
+        let requests =
+            candidate.gained_slots / self.service_time.as_secs_f64().max(f64::EPSILON) * payback_s;
+        let moves = 1.0 + f64::from(u8::from(candidate.victim.is_some()));
         requests >= moves * move_cost(policy, self.hour)
     }
 
-    /// The unloads that make room, or the load once there is room.
-    fn to_moves(&self, gain: &Gain<'_>, reason: &'static str) -> Vec<Move> {
-        let Some(victim) = gain.victim else {
+    /// Returns the load, or the unloads that free memory for it. The load then follows in a later
+    /// planning pass.
+    fn to_moves(&self, candidate: &CopyCandidate<'_>, reason: &'static str) -> Vec<Move> {
+        let Some(victim) = candidate.victim else {
             return vec![Move::Load {
-                runner: gain.runner.name.clone(),
-                artifact: Self::artifact(gain.model),
-                mib: gain.model.weights_mib,
-                room_mib: gain.runner.weights_room_mib(),
+                runner: candidate.runner.name.clone(),
+                artifact: Self::artifact(candidate.model),
+                mib: candidate.model.weights_mib,
+                capacity_mib: candidate.runner.weights_room_mib(),
                 reason,
-                others: format!("gain_slots:{:.1}", gain.slots),
+                others: format!("gain_slots:{:.1}", candidate.gained_slots),
             }];
         };
-        self.unload_whole(gain.runner, &Self::artifact(victim), "less_demanded")
+        self.unload_with_adapters(candidate.runner, &Self::artifact(victim), "less_demanded")
     }
 
-    /// Models that a placement keeps from getting spare copies back: all, while copies follow
-    /// the demand and some are short.
-    pub(crate) fn wants_room(&self) -> bool {
+    /// Whether free memory is reserved for overloaded models, so that no spare copies are loaded.
+    ///
+    /// Otherwise spare copies could take the memory that was just freed for those models.
+    pub(crate) fn should_hold_back_spare_copies(&self) -> bool {
         if self.control.inventory.rules.placement == PlacementRule::Static {
             return false;
         }
         let holders = self.all_holders();
-        let spread = self.spread(&holders, |model| self.weighted(model));
-        self.is_freeing() || !self.short_models(&holders, &spread, FULL).is_empty()
+        let spread = self.spread_demand(&holders, |model| self.weighted_demand(model));
+        self.is_unloading()
+            || !self
+                .overloaded_models(&holders, &spread, MAX_UTILISATION)
+                .is_empty()
     }
 }
 
-/// The cost of one move at an hour of the day, in requests.
+/// Returns the cost of one move in requests, at an hour of the day (UTC).
 fn move_cost(policy: &MovePolicy, hour: u8) -> f64 {
     if policy.busy_hours.contains(&hour) {
         policy.cost_requests * policy.busy_factor
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -1,8 +1,9 @@
-//! The planner of a group: claims it in the log, decides moves, gives orders.
+//! Plans groups of runners: appends leadership claims to the log, decides moves and sends the
+//! orders to the runners.
 //!
-//! An order is sent only once its intent was read back as accepted under the
-//! present claim. Time decides when a takeover is tried, the log whether it
-//! holds; so two planners never act on memory that is set aside only once.
+//! An order is sent only once its intent has been read back from the log as accepted under the
+//! current claim. Timeouts only decide when a takeover is tried; the log decides whether it
+//! succeeds. So two planners never use the same reserved memory twice.
 
 use crate::control::{
     Artifact, Claim, Command, Copy, CopyState, Held, Outcome, RunnerBook, Under, Verdict,
@@ -14,7 +15,7 @@
 use crate::inventory::{BackendServer, Inventory, Name};
 use crate::membership::Membership;
 use crate::metrics::{Metrics, OrderLabels};
-use crate::placement::{Move, Planning};
+use crate::placement::{Move, PlacementPlanner};
 use crate::server::ControlStream;
 use crate::service_registry::Service;
 use crate::shutdown::Shutdown;
@@ -24,15 +25,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The time between two looks at the books.
-const TICK: Duration = Duration::from_millis(200);
-/// How long to wait before an order is given again.
+/// The interval between two planning passes.
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
+/// The interval after which an order is sent again.
 const RESEND_AFTER: Duration = Duration::from_millis(1_000);
 
-/// How long a runner may be silent before its orders are given up.
-const DOWN_AFTER: Duration = Duration::from_millis(2_000);
+/// How long a runner may fail to report before it is marked down and its open loads are
+/// abandoned.
+const MARK_DOWN_AFTER: Duration = Duration::from_millis(2_000);
 
-/// An order that is not settled.
+/// An order whose outcome is not yet recorded in the log.
 struct OpenOrder<'a> {
     under: &'a Under,
     server: &'a BackendServer,
@@ -48,8 +50,9 @@
 
 /// What this process has sent for one intent.
 #[derive(Debug, Default)]
-struct Attempts {
+struct SendState {
     sent_at: Option<Instant>,
+    /// Whether any attempt was left without an answer, so that it may still reach the runner.
     unanswered: bool,
 }
 
@@ -64,8 +67,9 @@
     vm: Name,
     writer: Name,
     engines: EngineClient,
-    attempts: RefCell<HashMap<(u64, Artifact), Attempts>>,
+    send_states: RefCell<HashMap<(u64, Artifact), SendState>>,
     silent_since: RefCell<HashMap<Name, Instant>>,
+    /// When a fence was last proposed for each runner, until the engine accepts it.
     fenced_at: RefCell<HashMap<Name, Instant>>,
 }
 
@@ -74,7 +78,8 @@
 }
 
 impl Planner {
-    /// A planner over the services it reads; `writer` names this run in the log.
+    /// Creates a planner with its services from `kernel`; `writer` identifies this run of the
+    /// process in the log.
     pub(crate) fn new(kernel: &crate::service_registry::Kernel, vm: Name, writer: Name) -> Self {
         let metrics: Rc<Metrics> = kernel.find();
         Self {
@@ -87,21 +92,21 @@
             shutdown: kernel.find(),
             vm,
             writer,
-            attempts: RefCell::default(),
+            send_states: RefCell::default(),
             silent_since: RefCell::default(),
             fenced_at: RefCell::default(),
         }
     }
 
-    /// Tends every group until the VM leaves.
+    /// Runs the planning loop over all groups until the VM leaves.
     pub(crate) async fn run(self: Rc<Self>) {
         while !self.shutdown.is_leaving() {
-            compio::time::sleep(TICK).await;
+            compio::time::sleep(PLAN_INTERVAL).await;
             if !self.control.is_writable() {
                 continue;
             }
             for group in self.groups() {
-                self.tend(&group).await;
+                self.run_group(&group).await;
             }
         }
     }
@@ -116,7 +121,9 @@
         })
     }
 
-    async fn tend(&self, group: &Name) {
+    /// Plans a group if this process is its leader, or tries to take over a group without a live
+    /// leader.
+    async fn run_group(&self, group: &Name) {
         let claim = self
             .control
             .with(|control| control.claims.get(group).cloned());
@@ -129,6 +136,8 @@
         }
     }
 
+    /// Whether this VM may claim a group: the claim is from an earlier run on this VM, or there is
+    /// no claim of a live VM and this VM comes first in the rendezvous order.
     fn may_take_over(&self, group: &str, held: Option<&Claim>) -> bool {
         match held {
             Some(claim) if claim.vm == self.vm => true,
@@ -137,6 +146,7 @@
         }
     }
 
+    /// Appends a leadership claim; it is accepted only if `after` is the fence of the current one.
     async fn claim(&self, group: &Name, after: u64) {
         let command = Command::Claim {
             group: group.clone(),
@@ -150,12 +160,13 @@
         );
     }
 
-    /// Proposes a command; its fence if it was accepted.
+    /// Proposes a command and returns its fence if it was accepted.
     async fn propose(&self, command: Command) -> Option<u64> {
         let recorded = self.control.propose(command).await.ok()?;
         (recorded.verdict == Verdict::Accepted).then_some(recorded.position.fence)
     }
 
+    /// Advances the open orders of all runners of a group, then records new moves.
     async fn plan(&self, group: &Name, claim: u64) {
         let under = Under {
             group: group.clone(),
@@ -169,12 +180,18 @@
                 .cloned()
                 .collect()
         });
-        join_all(runners.iter().map(|runner| self.drive(&under, runner))).await;
+        join_all(
+            runners
+                .iter()
+                .map(|runner| self.reconcile_runner(&under, runner)),
+        )
+        .await;
         let moves = self.control.with(|control| {
             let demand = self.demand.total(&control.inventory, control.revision);
-            Planning::new(control, group, |name| {
-                let known = |book: &RunnerBook| book.boot != 0 && !book.down;
-                control.books.get(name).is_some_and(known)
+            PlacementPlanner::new(control, group, |name| {
+                let has_started =
+                    |memory_ledger: &RunnerBook| memory_ledger.boot != 0 && !memory_ledger.down;
+                control.books.get(name).is_some_and(has_started)
                     && self.fleet.runner(name).is_some_and(|runner| runner.is_up())
                     && !self.membership.is_server_leaving(name)
             })
@@ -184,15 +201,16 @@
         join_all(
             moves
                 .into_iter()
-                .map(|decided| self.record(&under, decided)),
+                .map(|planned| self.record(&under, planned)),
         )
         .await;
     }
 
-    /// Writes a decision as an intent; its order is given once it is read back.
-    async fn record(&self, under: &Under, decided: Move) {
+    /// Records a move as an intent in the log. The order is sent in a later pass, once the intent
+    /// has been read back.
+    async fn record(&self, under: &Under, planned: Move) {
         let under = under.clone();
-        match decided {
+        match planned {
             Move::Load {
                 runner,
                 artifact,
@@ -200,14 +218,14 @@
                 others,
                 ..
             } => {
-                let why = format!("reason={reason} others={others}");
-                let line = format!("artifact={artifact} runner={runner}");
+                let rationale = format!("reason={reason} others={others}");
+                let subject = format!("artifact={artifact} runner={runner}");
                 let command = Command::Load {
                     under,
                     runner,
                     artifact,
                 };
-                self.record_order("load", Event::LoadPlaced, command, &line, &why)
+                self.record_order("load", Event::LoadPlaced, command, &subject, &rationale)
                     .await;
             }
             Move::Unload {
@@ -215,14 +233,14 @@
                 artifact,
                 reason,
             } => {
-                let why = format!("reason={reason}");
-                let line = format!("artifact={artifact} runner={runner}");
+                let rationale = format!("reason={reason}");
+                let subject = format!("artifact={artifact} runner={runner}");
                 let command = Command::Unload {
                     under,
                     runner,
                     artifact,
                 };
-                self.record_order("unload", Event::UnloadPlaced, command, &line, &why)
+                self.record_order("unload", Event::UnloadPlaced, command, &subject, &rationale)
                     .await;
             }
         }
@@ -233,33 +251,37 @@
         order: &'static str,
         event: Event,
         command: Command,
-        line: &str,
-        why: &str,
+        subject: &str,
+        rationale: &str,
     ) {
         if let Some(fence) = self.propose(command).await {
             let labels = OrderLabels { order };
             self.metrics.orders.get_or_create(&labels).inc();
-            emit(event, format_args!("{line} intent={fence} {why}"));
+            emit(event, format_args!("{subject} intent={fence} {rationale}"));
         }
     }
 
-    /// Brings one runner's open orders forward and its book up to date.
-    async fn drive(&self, under: &Under, server: &BackendServer) {
+    /// Updates a runner's memory ledger from its report and advances its open orders.
+    async fn reconcile_runner(&self, under: &Under, server: &BackendServer) {
         let Some(report) = self.engines.report(server.address).await else {
-            return self.note_silent(under, server).await;
+            return self.mark_down_if_silent(under, server).await;
         };
         self.silent_since.borrow_mut().remove(&server.name);
-        let book = self
+        let memory_ledger = self
             .control
             .with(|control| control.book(&server.name).clone());
-        let is_behind = book.boot != report.boot || book.down;
-        if is_behind || (server.checks_fencing && book.has_reserved()) {
-            return self.reset(under, server, &book, report).await;
+        let is_outdated = memory_ledger.boot != report.boot || memory_ledger.down;
+        if is_outdated || (server.checks_fencing && memory_ledger.has_reserved()) {
+            return self
+                .reset_ledger(under, server, &memory_ledger, report)
+                .await;
         }
-        self.note_lost(under, server, &book, &report).await;
-        self.adopt(under, server, &report).await;
-        let mut copies: Vec<_> = book.copies.iter().collect();
-        // A fencing engine refuses an order that comes after a later one.
+        self.record_lost_copies(under, server, &memory_ledger, &report)
+            .await;
+        self.adopt_unlisted_copies(under, server, &report).await;
+        let mut copies: Vec<_> = memory_ledger.copies.iter().collect();
+        // An engine that checks fences refuses an order that arrives after one with a higher
+        // fence, so orders are sent by ascending intent.
         copies.sort_by_key(|(_, copy)| copy.intent);
         for (artifact, copy) in copies {
             let open = OpenOrder {
@@ -269,24 +291,25 @@
                 copy,
             };
             match copy.state {
-                CopyState::Loading => self.drive_load(&open, &report).await,
-                CopyState::Unloading => self.drive_unload(&open, &report).await,
+                CopyState::Loading => self.advance_load(&open, &report).await,
+                CopyState::Unloading => self.advance_unload(&open, &report).await,
                 CopyState::Resident | CopyState::Reserved => {}
             }
         }
     }
 
-    /// Gives up a runner that has been silent for too long, so that its loads hold no slot.
-    async fn note_silent(&self, under: &Under, server: &BackendServer) {
+    /// Marks a runner as down if it has not reported for `MARK_DOWN_AFTER`, so that its open loads
+    /// no longer count towards the limit on open loads.
+    async fn mark_down_if_silent(&self, under: &Under, server: &BackendServer) {
         let since = *self
             .silent_since
             .borrow_mut()
             .entry(server.name.clone())
             .or_insert_with(Instant::now);
-        let book = self
+        let memory_ledger = self
             .control
             .with(|control| control.book(&server.name).clone());
-        if since.elapsed() < DOWN_AFTER || book.down || book.boot == 0 {
+        if since.elapsed() < MARK_DOWN_AFTER || memory_ledger.down || memory_ledger.boot == 0 {
             return;
         }
         let command = Command::MarkDown {
@@ -298,12 +321,13 @@
         }
     }
 
-    /// Begins a book anew with what the engine holds; old orders are outdated first.
-    async fn reset(
+    /// Resets a runner's memory ledger to what the engine reports. An engine that checks fences is
+    /// fenced first, so that it refuses earlier orders.
+    async fn reset_ledger(
         &self,
         under: &Under,
         server: &BackendServer,
-        book: &RunnerBook,
+        memory_ledger: &RunnerBook,
         report: Report,
     ) {
         let boot = report.boot;
@@ -312,7 +336,7 @@
         } else {
             Some(report)
         };
-        // An engine that started in between may not know the fence.
+        // An engine that restarted in the meantime may not have received the fence.
         let Some(report) = report.filter(|report| report.boot == boot) else {
             return;
         };
@@ -321,17 +345,21 @@
             runner: server.name.clone(),
             boot,
             fenced: server.checks_fencing,
-            held: self.held(&report),
+            held: self.reported_copies(&report),
         };
         if self.propose(command).await.is_some() {
             emit(
                 Event::RunnerReset,
-                format_args!("runner={} boot={boot} before={}", server.name, book.boot),
+                format_args!(
+                    "runner={} boot={boot} before={}",
+                    server.name, memory_ledger.boot
+                ),
             );
         }
     }
 
-    /// Outdates every order to a fencing engine so far; its report from after that.
+    /// Sends a fence, after which the engine refuses all earlier orders, and returns a report
+    /// fetched after it. A failed fence is retried after `RESEND_AFTER`.
     async fn fence(&self, under: &Under, server: &BackendServer) -> Option<Report> {
         let last = self.fenced_at.borrow().get(&server.name).copied();
         if last.is_some_and(|at| at.elapsed() < RESEND_AFTER) {
@@ -357,15 +385,16 @@
         report
     }
 
-    fn held(&self, report: &Report) -> Vec<Held> {
+    /// Returns the artifacts in an engine's report, as the log records them.
+    fn reported_copies(&self, report: &Report) -> Vec<Held> {
         self.control.with(|control| {
             let held = report.artifacts.iter();
-            held.map(|held| self.as_held(held, &control.inventory))
+            held.map(|held| self.to_held(held, &control.inventory))
                 .collect()
         })
     }
 
-    fn as_held(&self, reported: &ReportedArtifact, inventory: &Inventory) -> Held {
+    fn to_held(&self, reported: &ReportedArtifact, inventory: &Inventory) -> Held {
         let state = match reported.state {
             ReportedState::Loading => CopyState::Loading,
             ReportedState::Ready => CopyState::Resident,
@@ -378,15 +407,16 @@
         }
     }
 
-    /// Notes what the engine does not hold any more, such as after a late order to unload.
-    async fn note_lost(
+    /// Records resident copies that the engine no longer reports, for example because a delayed
+    /// order unloaded them.
+    async fn record_lost_copies(
         &self,
         under: &Under,
         server: &BackendServer,
-        book: &RunnerBook,
+        memory_ledger: &RunnerBook,
         report: &Report,
     ) {
-        for (artifact, copy) in &book.copies {
+        for (artifact, copy) in &memory_ledger.copies {
             if copy.state != CopyState::Resident || report.find(&artifact.to_string()).is_some() {
                 continue;
             }
@@ -405,16 +435,21 @@
         }
     }
 
-    /// Enters into the book what the engine holds though nothing of ours is open for it.
-    async fn adopt(&self, under: &Under, server: &BackendServer, report: &Report) {
-        let book = self
+    /// Adds artifacts to the memory ledger that the engine reports but the ledger does not list,
+    /// or lists only as reserved.
+    async fn adopt_unlisted_copies(&self, under: &Under, server: &BackendServer, report: &Report) {
+        let memory_ledger = self
             .control
             .with(|control| control.book(&server.name).clone());
-        for (held, reported) in self.held(report).into_iter().zip(&report.artifacts) {
-            let known = book.copies.iter().any(|(artifact, copy)| {
+        for (held, reported) in self
+            .reported_copies(report)
+            .into_iter()
+            .zip(&report.artifacts)
+        {
+            let is_listed = memory_ledger.copies.iter().any(|(artifact, copy)| {
                 copy.state != CopyState::Reserved && artifact.to_string() == reported.name
             });
-            if known {
+            if is_listed {
                 continue;
             }
             let command = Command::Adopt {
@@ -423,42 +458,46 @@
                 held,
                 boot: report.boot,
             };
-            // A refusal means that the book has moved on meanwhile.
+            // A refusal means that the memory ledger has changed in the meantime.
             let _ = self.propose(command).await;
         }
     }
 
-    async fn drive_load(&self, open: &OpenOrder<'_>, report: &Report) {
+    /// Settles a load once the engine reports the artifact ready; sends the order if it does not
+    /// report the artifact at all.
+    async fn advance_load(&self, open: &OpenOrder<'_>, report: &Report) {
         match report.find(&open.artifact.to_string()) {
             Some(held) if held.state == ReportedState::Ready => {
                 self.settle(open, Outcome::Done, false).await;
             }
             Some(_) => {}
-            None => self.send(open, "load").await,
+            None => self.send_order(open, "load").await,
         }
     }
 
-    async fn drive_unload(&self, open: &OpenOrder<'_>, report: &Report) {
+    /// Settles an unload once the engine no longer reports the artifact; sends the order unless the
+    /// artifact is being unloaded.
+    async fn advance_unload(&self, open: &OpenOrder<'_>, report: &Report) {
         match report.find(&open.artifact.to_string()) {
             None => self.settle(open, Outcome::Done, false).await,
             Some(held) if held.state == ReportedState::Unloading => {}
-            Some(_) => self.send(open, "unload").await,
+            Some(_) => self.send_order(open, "unload").await,
         }
     }
 
-    /// Gives an order, unless it was given a moment ago.
-    async fn send(&self, open: &OpenOrder<'_>, kind: &str) {
+    /// Sends an order, unless it was sent within `RESEND_AFTER` or the claim has been superseded.
+    async fn send_order(&self, open: &OpenOrder<'_>, kind: &str) {
         let key = open.key();
-        let recent = self
-            .attempts
+        let sent_recently = self
+            .send_states
             .borrow()
             .get(&key)
-            .and_then(|attempts| attempts.sent_at)
+            .and_then(|state| state.sent_at)
             .is_some_and(|at| at.elapsed() < RESEND_AFTER);
-        if recent || !self.still_holds(open.under) {
+        if sent_recently || !self.still_holds_claim(open.under) {
             return;
         }
-        self.attempts
+        self.send_states
             .borrow_mut()
             .entry(key.clone())
             .or_default()
@@ -473,16 +512,17 @@
         match self.engines.order(open.server.address, &order).await {
             OrderAnswer::Accepted | OrderAnswer::NotSent => {}
             OrderAnswer::Unanswered => {
-                let mut attempts = self.attempts.borrow_mut();
-                attempts.entry(key).or_default().unanswered = true;
+                let mut send_states = self.send_states.borrow_mut();
+                send_states.entry(key).or_default().unanswered = true;
             }
-            OrderAnswer::Fenced => self.check_fenced(open, &name).await,
+            OrderAnswer::Fenced => self.settle_fenced_order(open, &name).await,
             OrderAnswer::Refused => self.settle(open, Outcome::Failed, false).await,
         }
     }
 
-    /// Ends an outdated order, unless an earlier sending of it had arrived.
-    async fn check_fenced(&self, open: &OpenOrder<'_>, name: &str) {
+    /// Settles an order that was refused for its fence as failed, unless the engine's report shows
+    /// that an earlier attempt had reached it.
+    async fn settle_fenced_order(&self, open: &OpenOrder<'_>, name: &str) {
         let Some(report) = self.engines.report(open.server.address).await else {
             return;
         };
@@ -496,7 +536,8 @@
         }
     }
 
-    fn still_holds(&self, under: &Under) -> bool {
+    /// Whether the claim is still the current one of its group.
+    fn still_holds_claim(&self, under: &Under) -> bool {
         self.control.with(|control| {
             control
                 .claims
@@ -505,20 +546,21 @@
         })
     }
 
-    /// Whether no sending of the order can arrive, or have an effect, any more.
+    /// Whether no attempt to send the order can still arrive and take effect.
     fn is_clean(&self, open: &OpenOrder<'_>, outcome: Outcome, fenced: bool) -> bool {
         if open.server.checks_fencing {
             return fenced || outcome == Outcome::Done;
         }
         let all_answered = self
-            .attempts
+            .send_states
             .borrow()
             .get(&open.key())
-            .is_none_or(|attempts| !attempts.unanswered);
-        // An order given under another claim was sent by somebody else as well.
+            .is_none_or(|state| !state.unanswered);
+        // An order from an earlier claim may also have been sent by another process.
         open.copy.claim == open.under.claim && all_answered
     }
 
+    /// Records the outcome of an order.
     async fn settle(&self, open: &OpenOrder<'_>, outcome: Outcome, fenced: bool) {
         let clean = self.is_clean(open, outcome, fenced);
         let intent = open.copy.intent;
@@ -531,7 +573,7 @@
             clean,
         };
         if self.propose(command).await.is_some() {
-            self.attempts.borrow_mut().remove(&open.key());
+            self.send_states.borrow_mut().remove(&open.key());
             emit(
                 Event::OrderSettled,
                 format_args!(
@@ -543,7 +585,7 @@
     }
 }
 
-/// The hour of the day, UTC.
+/// Returns the hour of the day, UTC.
 fn hour_utc() -> u8 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.map_or(0, |since| (since.as_secs() / 3_600 % 24) as u8)
