--- a/src/gateway/directory_updates.rs
+++ b/src/gateway/directory_updates.rs
@@ -20,7 +20,7 @@
 
 /// A part of the changes in a stretch of the directory's log.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct DirectoryNews {
+pub(super) struct DirectoryUpdate {
     /// The offset from which on the changes are told.
     #[prost(uint64, tag = "1")]
     pub(super) from: u64,
@@ -88,7 +88,7 @@
                 availability_zone: entry.availability_zone.to_string(),
                 slots: entry.slots,
                 is_draining: entry.state == ServerState::Draining,
-                holdings: entry.holdings.iter().map(told_holding).collect(),
+                holdings: entry.holdings.iter().map(encode_holding).collect(),
                 in_memory: strings(&entry.in_memory),
                 on_disk: strings(&entry.on_disk),
             },
@@ -126,7 +126,7 @@
 }
 
 /// What a runner holds of one model, as messages tell it.
-pub(super) fn told_holding(holding: &Holding) -> ModelHolding {
+pub(super) fn encode_holding(holding: &Holding) -> ModelHolding {
     ModelHolding {
         model: holding.model.to_string(),
         version: holding.version,
@@ -140,7 +140,7 @@
     from: u64,
     next: u64,
     is_shaken: bool,
-) -> Option<Vec<DirectoryNews>> {
+) -> Option<Vec<DirectoryUpdate>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
     for told in changes.iter().map(ToldServer::of) {
@@ -157,7 +157,7 @@
         return None;
     }
     let parts = parts.into_iter().enumerate();
-    let news = parts.map(|(part, changes)| DirectoryNews {
+    let news = parts.map(|(part, changes)| DirectoryUpdate {
         from,
         next,
         part: part as u32,
@@ -181,7 +181,7 @@
     /// they go on from there.
     pub(super) fn take(
         &mut self,
-        news: DirectoryNews,
+        news: DirectoryUpdate,
         end: Option<u64>,
     ) -> Option<Changes<ServerChange>> {
         let count = (news.parts as usize).clamp(1, MAX_PARTS);
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -49,9 +49,9 @@
     pub(super) socket: UdpSocket,
     pub(super) boot: u64,
     /// What peers were told that runners hold.
-    pub(super) told: RefCell<HashMap<Incarnation, AdvertisedHoldings>>,
+    pub(super) sent_holdings: RefCell<HashMap<Incarnation, AdvertisedHoldings>>,
     /// What other zones are told of this one's load.
-    pub(super) zone_telling: RefCell<ZoneLoadSampler>,
+    pub(super) sent_zone_loads: RefCell<ZoneLoadSampler>,
     /// Counts the tellings of the demand.
     demand_round: Cell<u32>,
     /// Counts the turns, for the part of the VMs that is spoken to.
@@ -73,8 +73,8 @@
             state,
             socket,
             boot,
-            told: RefCell::default(),
-            zone_telling: RefCell::default(),
+            sent_holdings: RefCell::default(),
+            sent_zone_loads: RefCell::default(),
             demand_round: Cell::new(0),
             // Others begin elsewhere, so that a VM hears of another zone in each turn.
             turn: Cell::new(usize::from(rand::random::<u16>())),
@@ -120,7 +120,7 @@
             let _ = compio::time::timeout(rest, urgent).await;
             let now = Instant::now();
             self.state.peers.forget_silent(now);
-            self.state.ledger.borrow_mut().forget(now);
+            self.state.ledger.borrow_mut().prune_expired(now);
         }
     }
 
@@ -142,7 +142,7 @@
         let turn = self.turn.get();
         self.turn.set(turn.wrapping_add(1));
         let next_in = INTERVAL * targets.local_rounds() as u32;
-        let own = self.tallies(|ledger| ledger.own_tally(now));
+        let own = self.tallies(|ledger| ledger.vm_report(now));
         let near = Digest {
             vms: zones_of(&sample, now),
             next_in_ms: next_in.as_millis() as u32,
@@ -184,7 +184,7 @@
 
     /// Tells VMs in other zones.
     async fn send_far(&self, mut digest: Digest, holdings: &[Digest], far: &[SocketAddr]) {
-        let tallies = self.tallies(|ledger| ledger.zone_tally(Instant::now()));
+        let tallies = self.tallies(|ledger| ledger.zone_report(Instant::now()));
         digest.tally = tallies.first().cloned();
         self.send_to(&digest, far).await;
         self.send_tallies(tallies.get(1..).unwrap_or_default(), INTERVAL, far)
@@ -318,15 +318,15 @@
                 ..Digest::default()
             };
             self.send_to(&message, &targets.near).await;
-            let mut told = targets.near.len();
+            let mut sent_holdings = targets.near.len();
             // Where messages to other zones come seldom, prompts would be told too late.
             if targets.remote_rounds() == 1 {
                 for far in targets.far.values() {
                     self.send_to(&message, far).await;
-                    told += far.len();
+                    sent_holdings += far.len();
                 }
             }
-            compio::time::sleep(PROMPTS_PAUSE_A_PEER * told as u32).await;
+            compio::time::sleep(PROMPTS_PAUSE_A_PEER * sent_holdings as u32).await;
         }
     }
 
--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -51,7 +51,7 @@
             }
         }
         if let Some(news) = digest.directory.clone() {
-            self.state.take_directory_news(news, now);
+            self.state.apply_directory_update(news, now);
         }
         self.take_holdings(&digest, now);
         self.take_prompts(sender, &digest, now);
@@ -77,9 +77,9 @@
         let mut ledger = self.state.ledger.borrow_mut();
         if zone == self.state.settings.availability_zone {
             let next_in = Duration::from_millis(u64::from(digest.next_in_ms));
-            ledger.take_near(sender, told.tally(), next_in, now);
+            ledger.apply_vm_report(sender, told.tally(), next_in, now);
         } else {
-            ledger.take_far(&zone.into(), told.tally(), now);
+            ledger.apply_zone_report(&zone.into(), told.tally(), now);
         }
     }
 
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -1,8 +1,8 @@
 //! Builds the contents of gossip messages: the load of this VM and of its zone, its demand, and
 //! what runners have loaded.
 
-use crate::callers::{Ledger, Tally};
-use crate::gateway::directory_updates::told_holding;
+use crate::callers::{Ledger, UsageReport};
+use crate::gateway::directory_updates::encode_holding;
 use crate::gateway::fleet::{Holding, Incarnation};
 use crate::gateway::gossip::{Gossip, INTERVAL};
 use crate::gateway::gossip_message::{
@@ -82,7 +82,7 @@
             (short_id(&server.id), server.in_flight() + others)
         });
         let message_interval = INTERVAL * targets.remote_rounds() as u32;
-        let part = self.zone_telling.borrow_mut().part(
+        let part = self.sent_zone_loads.borrow_mut().part(
             sums.collect(),
             round,
             message_interval,
@@ -94,7 +94,7 @@
 
     /// Splits a tally of the ledger into parts that fit one message each. Without organisations
     /// there are none.
-    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> Tally) -> Vec<TallyPart> {
+    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> UsageReport) -> Vec<TallyPart> {
         let configuration = self.state.configuration();
         if configuration.is_none_or(|it| it.organisations.is_none()) {
             return Vec::new();
@@ -194,7 +194,7 @@
     fn take_due_holdings(&self) -> Vec<ServerHoldings> {
         let now = Instant::now();
         let view = self.state.leader_view.borrow();
-        let mut by_run = self.told.borrow_mut();
+        let mut by_run = self.sent_holdings.borrow_mut();
         if by_run.len() > view.len() {
             let runs: HashSet<&Incarnation> = view.iter().map(|(run, _)| run).collect();
             by_run.retain(|run, _| runs.contains(run));
@@ -218,6 +218,6 @@
     ServerHoldings {
         server: run.id.to_string(),
         started_ms: run.started_ms,
-        models: holdings.iter().map(told_holding).collect(),
+        models: holdings.iter().map(encode_holding).collect(),
     }
 }
--- a/src/gateway/journal.rs
+++ b/src/gateway/journal.rs
@@ -20,7 +20,7 @@
 
 /// Makes the writers of log lines.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Journal(Arc<Waiting>);
+pub(crate) struct BufferedLog(Arc<Waiting>);
 
 /// Takes one line.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Journal {
+impl<'a> MakeWriter<'a> for BufferedLog {
     type Writer = LineWriter<'a>;
 
     fn make_writer(&'a self) -> Self::Writer {
@@ -50,7 +50,7 @@
     }
 }
 
-impl Journal {
+impl BufferedLog {
     /// Starts the log of this process.
     ///
     /// # Errors
--- a/src/gateway/log_follower.rs
+++ b/src/gateway/log_follower.rs
@@ -55,7 +55,7 @@
 
 /// This VM's own readings.
 #[derive(Debug, Default)]
-pub(crate) struct Following {
+pub(crate) struct FollowerState {
     /// Of the directory of backend servers.
     pub(crate) directory: Cell<Option<Reading>>,
     /// Of the configuration.
@@ -65,13 +65,13 @@
     /// Up to where the zone was told the directory's changes.
     pub(crate) told_to: Cell<Option<u64>>,
     /// When the log was last found away.
-    pub(crate) shaken_at: Cell<Option<Instant>>,
+    pub(crate) disrupted_at: Cell<Option<Instant>>,
 }
 
-impl Following {
+impl FollowerState {
     /// Notes that changes of the directory up to `next` came from another VM: what this one tells
     /// its zone later goes on from there.
-    pub(crate) fn note_told(&self, next: u64) {
+    pub(crate) fn note_received_update(&self, next: u64) {
         self.directory_end.set(Some(next));
         self.told_to.set(None);
         if let Some(mut reading) = self.directory.get() {
@@ -82,8 +82,8 @@
 
     /// Whether entries may lapse because the log itself was away.
     pub(crate) fn is_shaken(&self, now: Instant) -> bool {
-        let shaken_at = self.shaken_at.get();
-        shaken_at.is_some_and(|at| now.saturating_duration_since(at) < SHAKEN_FOR)
+        let disrupted_at = self.disrupted_at.get();
+        disrupted_at.is_some_and(|at| now.saturating_duration_since(at) < SHAKEN_FOR)
     }
 
     /// Both readings, once there are both.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,7 +1,7 @@
 //! The other VMs of the fleet, and what they last reported: load, demand and leadership.
 
 use crate::gateway::Weights;
-use crate::gateway::directory_updates::DirectoryNews;
+use crate::gateway::directory_updates::DirectoryUpdate;
 use crate::gateway::fleet::Holding;
 use crate::gateway::gossip_message::{CrashReport, Digest, SentPrompt, sightings_of};
 use crate::gateway::gossip_targets::Targets;
@@ -83,7 +83,7 @@
     /// Recent crash reports, and when each was made.
     crashes: RefCell<Vec<(CrashReport, Instant)>>,
     /// Directory changes that have yet to be sent to the local zone.
-    pending_updates: RefCell<Vec<DirectoryNews>>,
+    pending_updates: RefCell<Vec<DirectoryUpdate>>,
     /// Prompts that have yet to be reported to peers, and when each was sent to its runner.
     prompts: RefCell<Vec<(SentPrompt, Instant)>>,
     prompt_signal: Signal,
@@ -266,13 +266,13 @@
     }
 
     /// Queues directory changes to be sent to the local zone, and triggers the message.
-    pub(super) fn queue_directory_updates(&self, updates: Vec<DirectoryNews>) {
+    pub(super) fn queue_directory_updates(&self, updates: Vec<DirectoryUpdate>) {
         self.pending_updates.borrow_mut().extend(updates);
         self.trigger_update(UpdateScope::Zone);
     }
 
     /// Returns and clears the queued directory changes.
-    pub(super) fn take_directory_updates(&self) -> Vec<DirectoryNews> {
+    pub(super) fn take_directory_updates(&self) -> Vec<DirectoryUpdate> {
         self.pending_updates.take()
     }
 
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,13 +1,13 @@
 //! One VM's process in the serving role, from start to end.
 
 use crate::error::Fault;
-use crate::gateway::election::Leading;
+use crate::gateway::election::LeaderElection;
 use crate::gateway::fleet::Incarnation;
 use crate::gateway::gossip::Gossip;
-use crate::gateway::journal::Journal;
+use crate::gateway::journal::BufferedLog;
 use crate::gateway::relay::Relay;
 use crate::gateway::state::State;
-use crate::gateway::watch::Watch;
+use crate::gateway::watch::LogWatcher;
 use crate::gateway::{
     Claims, ConfigSource, Directory, Group, Metrics, Protocol, RunnerControl, Settings,
 };
@@ -59,7 +59,7 @@
     S: ConfigSource + Directory + Group + Claims,
     R: RunnerControl,
 {
-    let journal = Journal::start().change_context(Fault::Logging)?;
+    let journal = BufferedLog::start().change_context(Fault::Logging)?;
     let callers = bind(settings.caller_address).await?;
     let ready = bind(settings.ready_address).await?;
     let state = Rc::new(State::new(settings, metrics));
@@ -70,13 +70,13 @@
     let settings = &state.settings;
     info!(vm = %settings.vm, zone = %settings.availability_zone, callers = %settings.caller_address, "started");
 
-    let watch = Watch::new(state.clone(), store.clone());
+    let watch = LogWatcher::new(state.clone(), store.clone());
     compio::runtime::spawn(watch.clone().follow_configuration()).detach();
     compio::runtime::spawn(watch.follow_directory()).detach();
     compio::runtime::spawn(gossip.clone().receive()).detach();
     compio::runtime::spawn(gossip.clone().send_prompts()).detach();
     compio::runtime::spawn(gossip.send()).detach();
-    let leading = Leading::new(state.clone(), store, runners);
+    let leading = LeaderElection::new(state.clone(), store, runners);
     compio::runtime::spawn(leading.clone().keep_membership()).detach();
     compio::runtime::spawn(leading.clone().lead()).detach();
     if let Some(address) = settings.metrics_address {
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -1,6 +1,6 @@
 //! Changes of the directory reach the zone whole, or not at all.
 
-use crate::gateway::directory_updates::{Assembly, DirectoryNews, news_of};
+use crate::gateway::directory_updates::{Assembly, DirectoryUpdate, news_of};
 use crate::gateway::fleet::{Entry, Holding, ServerState};
 use crate::gateway::peers::Peers;
 use crate::gateway::state::State;
@@ -41,12 +41,12 @@
     (0..count).map(here).chain([gone]).collect()
 }
 
-fn parts(count: usize, from: u64, next: u64) -> Vec<DirectoryNews> {
+fn parts(count: usize, from: u64, next: u64) -> Vec<DirectoryUpdate> {
     news_of(&changes(count), from, next, false).expect("they are few enough")
 }
 
 /// What is taken over of messages by a reader that has read up to `end`.
-fn taken(messages: Vec<DirectoryNews>, end: Option<u64>) -> Option<(usize, u64)> {
+fn taken(messages: Vec<DirectoryUpdate>, end: Option<u64>) -> Option<(usize, u64)> {
     let mut assembly = Assembly::default();
     let mut whole = None;
     for message in messages {
@@ -103,7 +103,10 @@
 
 fn read(state: &State, items: Vec<ServerChange>) -> usize {
     let changes = Changes { items, next: 0 };
-    state.take_directory(changes, Instant::now()).0.len()
+    state
+        .apply_directory_changes(changes, Instant::now())
+        .0
+        .len()
 }
 
 #[test]
@@ -123,7 +126,7 @@
     let state = state();
     read(&state, vec![here(1)]);
     // Another server answered at its address.
-    state.fleet.lapse("i-1", Instant::now());
-    state.forget_lapsed(Instant::now());
+    state.fleet.mark_removed("i-1", Instant::now());
+    state.purge_removed(Instant::now());
     assert_eq!(read(&state, vec![ServerChange::Removed("i-1".into())]), 1);
 }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -45,12 +45,12 @@
 const OTHERS_PAUSE: Duration = Duration::from_millis(4_000);
 
 /// Keeps the state in step with what the log holds.
-pub(crate) struct Watch<S> {
+pub(crate) struct LogWatcher<S> {
     state: Rc<State>,
     store: Rc<S>,
 }
 
-impl<S: ConfigSource + Directory> Watch<S> {
+impl<S: ConfigSource + Directory> LogWatcher<S> {
     /// A watch over a store.
     pub(crate) fn new(state: Rc<State>, store: Rc<S>) -> Rc<Self> {
         Rc::new(Self { state, store })
@@ -65,7 +65,7 @@
             let read = match next {
                 None => self.store.newest().await,
                 Some(from) => {
-                    let told = self.state.told_news(read_at);
+                    let told = self.state.advertised_readings(read_at);
                     let wait = told.map_or(CONFIGURATION_WAIT, |_| Duration::ZERO);
                     self.store.changes(from, wait).await
                 }
@@ -81,7 +81,7 @@
                     let following = &self.state.following;
                     let before = following.configuration.replace(Some(reading));
                     for configuration in changes.items {
-                        self.state.take_configuration(configuration);
+                        self.state.apply_configuration(configuration);
                     }
                     let is_change = before.is_some_and(|before| before.news < reading.news);
                     if is_change && self.state.follows_closely(reading.at) {
@@ -128,17 +128,17 @@
                 }
                 Err(StoreError::Compacted) => {
                     following.directory_end.set(None);
-                    following.shaken_at.set(Some(Instant::now()));
+                    following.disrupted_at.set(Some(Instant::now()));
                     self.await_new_reading("directory", failures).await;
                 }
                 Err(error) => {
-                    following.shaken_at.set(Some(Instant::now()));
+                    following.disrupted_at.set(Some(Instant::now()));
                     self.note_failure("directory", error, failures);
                     failures += 1;
                     self.await_retry(failures).await;
                 }
             }
-            self.state.forget_lapsed(Instant::now());
+            self.state.purge_removed(Instant::now());
         }
     }
 
@@ -169,13 +169,13 @@
         is_news: impl Fn(Readings) -> bool,
     ) {
         // A log that is behind what was told is not asked again at once.
-        let told = self.state.told_news(Instant::now());
+        let told = self.state.advertised_readings(Instant::now());
         let is_behind = told.is_some_and(&is_news);
         let interval = if is_behind { BEHIND_INTERVAL } else { interval };
         compio::time::sleep_until(read_at + interval).await;
         while read_at.elapsed() < SELDOM_INTERVAL {
-            self.state.forget_lapsed(Instant::now());
-            match self.state.told_news(Instant::now()) {
+            self.state.purge_removed(Instant::now());
+            match self.state.advertised_readings(Instant::now()) {
                 Some(told) if !is_news(told) => compio::time::sleep(NEWS_POLL).await,
                 _ => return,
             }
@@ -190,7 +190,7 @@
         if from.is_none() {
             changes.items.extend(self.unlisted(&changes.items));
         }
-        let (told, has_news) = self.state.take_directory(changes, now);
+        let (told, has_news) = self.state.apply_directory_changes(changes, now);
         let following = &self.state.following;
         following.directory_end.set(Some(next));
         let before = following.directory.get();
@@ -233,7 +233,8 @@
             })
             .collect();
         let servers = self.state.fleet.servers().into_iter();
-        let gone = servers.filter(|server| !ids.contains(&server.id) && !server.is_lapsed());
+        let gone =
+            servers.filter(|server| !ids.contains(&server.id) && !server.is_marked_removed());
         gone.map(|server| ServerChange::Removed(server.id.clone()))
             .collect()
     }
@@ -251,7 +252,7 @@
         compio::time::sleep(retry_pause(failures, self.state.is_ready())).await;
         let leaves_it = || self.state.fence.get() == 0 && self.state.zone_rank() >= ASKERS;
         while leaves_it() && failed_at.elapsed() < OTHERS_PAUSE {
-            if self.state.told_news(Instant::now()).is_some() {
+            if self.state.advertised_readings(Instant::now()).is_some() {
                 return;
             }
             compio::time::sleep(NEWS_POLL).await;
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -4,7 +4,7 @@
 mod eviction;
 mod replicas;
 
-use crate::control::{Artifact, Control, CopyState, MAX_OPEN_LOADS, RunnerBook};
+use crate::control::{Artifact, Control, CopyState, MAX_OPEN_LOADS, MemoryLedger};
 use crate::demand::SlotDemand;
 use crate::inventory::{BackendServer, Model, Name};
 use std::collections::{HashMap, HashSet};
@@ -117,8 +117,8 @@
         moves
     }
 
-    fn memory_ledger(&self, runner: &BackendServer) -> &'a RunnerBook {
-        self.control.book(&runner.name)
+    fn memory_ledger(&self, runner: &BackendServer) -> &'a MemoryLedger {
+        self.control.ledger(&runner.name)
     }
 
     fn artifact(model: &Model) -> Artifact {
@@ -315,7 +315,7 @@
     /// resident, and as many runners hold the current model with all its adapters.
     fn reason_to_unload(
         &self,
-        memory_ledger: &RunnerBook,
+        memory_ledger: &MemoryLedger,
         artifact: &Artifact,
     ) -> Option<&'static str> {
         let Some(model) = self.control.inventory.model(&artifact.model) else {
@@ -355,7 +355,7 @@
 }
 
 /// Whether the artifact is an adapter on a runner that holds no version of its model.
-fn is_orphan(memory_ledger: &RunnerBook, artifact: &Artifact) -> bool {
+fn is_orphan(memory_ledger: &MemoryLedger, artifact: &Artifact) -> bool {
     artifact.adapter.is_some()
         && !memory_ledger
             .copies
--- a/src/placement/eviction.rs
+++ b/src/placement/eviction.rs
@@ -1,7 +1,7 @@
 //! Frees memory for a model that fits on no runner by evicting copies that are not required.
 
 use super::{Move, PlacementPlanner};
-use crate::control::{Artifact, CopyState, RunnerBook};
+use crate::control::{Artifact, CopyState, MemoryLedger};
 use crate::inventory::{BackendServer, Model};
 
 impl<'a> PlacementPlanner<'a> {
@@ -125,7 +125,7 @@
     pub(super) fn can_spare(
         &self,
         runner: &BackendServer,
-        memory_ledger: &RunnerBook,
+        memory_ledger: &MemoryLedger,
         base: &Artifact,
     ) -> bool {
         let Some(model) = self.control.inventory.model(&base.model) else {
@@ -149,13 +149,13 @@
 
     /// Whether `base` or the current version of the model is resident on a runner, along with
     /// some version of each adapter.
-    fn is_complete_on(&self, memory_ledger: &RunnerBook, model: &Model, base: &Artifact) -> bool {
+    fn is_complete_on(&self, memory_ledger: &MemoryLedger, model: &Model, base: &Artifact) -> bool {
         let has_base =
             memory_ledger.is_resident(base) || memory_ledger.is_resident(&Self::artifact(model));
         has_base
             && Self::adapters(model).all(|(adapter, _)| {
                 memory_ledger.copies.iter().any(|(held, copy)| {
-                    held.serves_same(&adapter) && copy.state == CopyState::Resident
+                    held.has_same_name(&adapter) && copy.state == CopyState::Resident
                 })
             })
     }
@@ -163,12 +163,12 @@
 
 /// Whether an artifact is a resident adapter of the model of `base`, and `base` is the runner's
 /// only version of that model. Otherwise the adapter stays for the other version.
-fn is_adapter_of(artifact: &Artifact, base: &Artifact, memory_ledger: &RunnerBook) -> bool {
+fn is_adapter_of(artifact: &Artifact, base: &Artifact, memory_ledger: &MemoryLedger) -> bool {
     artifact.adapter.is_some()
         && artifact.model == base.model
         && memory_ledger.is_resident(artifact)
         && !memory_ledger
             .copies
             .keys()
-            .any(|other| other.serves_same(base) && other != base)
+            .any(|other| other.has_same_name(base) && other != base)
 }
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -6,7 +6,7 @@
 //! succeeds. So two planners never use the same reserved memory twice.
 
 use crate::control::{
-    Artifact, Claim, Command, Copy, CopyState, Held, Outcome, RunnerBook, Under, Verdict,
+    Artifact, Claim, ClaimRef, Command, Copy, CopyState, HeldCopy, MemoryLedger, Outcome, Verdict,
 };
 use crate::demand::Demand;
 use crate::engine::{EngineClient, Order, OrderAnswer, Report, ReportedArtifact, ReportedState};
@@ -36,7 +36,7 @@
 
 /// An order whose outcome is not yet recorded in the log.
 struct OpenOrder<'a> {
-    under: &'a Under,
+    under: &'a ClaimRef,
     server: &'a BackendServer,
     artifact: &'a Artifact,
     copy: &'a Copy,
@@ -168,7 +168,7 @@
 
     /// Advances the open orders of all runners of a group, then records new moves.
     async fn plan(&self, group: &Name, claim: u64) {
-        let under = Under {
+        let under = ClaimRef {
             group: group.clone(),
             claim,
         };
@@ -190,8 +190,8 @@
             let demand = self.demand.total(&control.inventory, control.revision);
             PlacementPlanner::new(control, group, |name| {
                 let has_started =
-                    |memory_ledger: &RunnerBook| memory_ledger.boot != 0 && !memory_ledger.down;
-                control.books.get(name).is_some_and(has_started)
+                    |memory_ledger: &MemoryLedger| memory_ledger.boot != 0 && !memory_ledger.down;
+                control.ledgers.get(name).is_some_and(has_started)
                     && self.fleet.runner(name).is_some_and(|runner| runner.is_up())
                     && !self.membership.is_server_leaving(name)
             })
@@ -208,7 +208,7 @@
 
     /// Records a move as an intent in the log. The order is sent in a later pass, once the intent
     /// has been read back.
-    async fn record(&self, under: &Under, planned: Move) {
+    async fn record(&self, under: &ClaimRef, planned: Move) {
         let under = under.clone();
         match planned {
             Move::Load {
@@ -262,14 +262,14 @@
     }
 
     /// Updates a runner's memory ledger from its report and advances its open orders.
-    async fn reconcile_runner(&self, under: &Under, server: &BackendServer) {
+    async fn reconcile_runner(&self, under: &ClaimRef, server: &BackendServer) {
         let Some(report) = self.engines.report(server.address).await else {
             return self.mark_down_if_silent(under, server).await;
         };
         self.silent_since.borrow_mut().remove(&server.name);
         let memory_ledger = self
             .control
-            .with(|control| control.book(&server.name).clone());
+            .with(|control| control.ledger(&server.name).clone());
         let is_outdated = memory_ledger.boot != report.boot || memory_ledger.down;
         if is_outdated || (server.checks_fencing && memory_ledger.has_reserved()) {
             return self
@@ -300,7 +300,7 @@
 
     /// Marks a runner as down if it has not reported for `MARK_DOWN_AFTER`, so that its open loads
     /// no longer count towards the limit on open loads.
-    async fn mark_down_if_silent(&self, under: &Under, server: &BackendServer) {
+    async fn mark_down_if_silent(&self, under: &ClaimRef, server: &BackendServer) {
         let since = *self
             .silent_since
             .borrow_mut()
@@ -308,7 +308,7 @@
             .or_insert_with(Instant::now);
         let memory_ledger = self
             .control
-            .with(|control| control.book(&server.name).clone());
+            .with(|control| control.ledger(&server.name).clone());
         if since.elapsed() < MARK_DOWN_AFTER || memory_ledger.down || memory_ledger.boot == 0 {
             return;
         }
@@ -325,9 +325,9 @@
     /// fenced first, so that it refuses earlier orders.
     async fn reset_ledger(
         &self,
-        under: &Under,
+        under: &ClaimRef,
         server: &BackendServer,
-        memory_ledger: &RunnerBook,
+        memory_ledger: &MemoryLedger,
         report: Report,
     ) {
         let boot = report.boot;
@@ -360,7 +360,7 @@
 
     /// Sends a fence, after which the engine refuses all earlier orders, and returns a report
     /// fetched after it. A failed fence is retried after `RESEND_AFTER`.
-    async fn fence(&self, under: &Under, server: &BackendServer) -> Option<Report> {
+    async fn fence(&self, under: &ClaimRef, server: &BackendServer) -> Option<Report> {
         let last = self.fenced_at.borrow().get(&server.name).copied();
         if last.is_some_and(|at| at.elapsed() < RESEND_AFTER) {
             return None;
@@ -386,7 +386,7 @@
     }
 
     /// Returns the artifacts in an engine's report, as the log records them.
-    fn reported_copies(&self, report: &Report) -> Vec<Held> {
+    fn reported_copies(&self, report: &Report) -> Vec<HeldCopy> {
         self.control.with(|control| {
             let held = report.artifacts.iter();
             held.map(|held| self.to_held(held, &control.inventory))
@@ -394,13 +394,13 @@
         })
     }
 
-    fn to_held(&self, reported: &ReportedArtifact, inventory: &Inventory) -> Held {
+    fn to_held(&self, reported: &ReportedArtifact, inventory: &Inventory) -> HeldCopy {
         let state = match reported.state {
             ReportedState::Loading => CopyState::Loading,
             ReportedState::Ready => CopyState::Resident,
             ReportedState::Unloading => CopyState::Unloading,
         };
-        Held {
+        HeldCopy {
             artifact: Artifact::parse(&reported.name, inventory),
             mib: reported.mib,
             state,
@@ -411,9 +411,9 @@
     /// order unloaded them.
     async fn record_lost_copies(
         &self,
-        under: &Under,
+        under: &ClaimRef,
         server: &BackendServer,
-        memory_ledger: &RunnerBook,
+        memory_ledger: &MemoryLedger,
         report: &Report,
     ) {
         for (artifact, copy) in &memory_ledger.copies {
@@ -437,10 +437,15 @@
 
     /// Adds artifacts to the memory ledger that the engine reports but the ledger does not list,
     /// or lists only as reserved.
-    async fn adopt_unlisted_copies(&self, under: &Under, server: &BackendServer, report: &Report) {
+    async fn adopt_unlisted_copies(
+        &self,
+        under: &ClaimRef,
+        server: &BackendServer,
+        report: &Report,
+    ) {
         let memory_ledger = self
             .control
-            .with(|control| control.book(&server.name).clone());
+            .with(|control| control.ledger(&server.name).clone());
         for (held, reported) in self
             .reported_copies(report)
             .into_iter()
@@ -537,7 +542,7 @@
     }
 
     /// Whether the claim is still the current one of its group.
-    fn still_holds_claim(&self, under: &Under) -> bool {
+    fn still_holds_claim(&self, under: &ClaimRef) -> bool {
         self.control.with(|control| {
             control
                 .claims
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -7,7 +7,7 @@
 //! other suspects are cleared within a few tokens.
 
 use crate::client::is_refused;
-use crate::control::{Command, Standing, SuspectCommand, Verdict};
+use crate::control::{Command, SuspectCommand, SuspectStatus, Verdict};
 use crate::engine::EngineClient;
 use crate::events::{Event, emit};
 use crate::fleet::Runner;
@@ -78,10 +78,10 @@
     }
 
     /// Returns whether a request is clear, a suspect or refused as poison, by its fingerprint.
-    pub(crate) fn standing(&self, fingerprint: u64) -> Standing {
+    pub(crate) fn standing(&self, fingerprint: u64) -> SuspectStatus {
         let unrecorded_crashes = self.unrecorded_crashes.borrow().get(&fingerprint).copied();
         if unrecorded_crashes.is_some_and(|crashes| crashes >= MAX_UNRECORDED_CRASHES) {
-            return Standing::Poison;
+            return SuspectStatus::Poison;
         }
         self.control
             .with(|control| control.suspects.standing(fingerprint))
--- a/src/router.rs
+++ b/src/router.rs
@@ -2,7 +2,7 @@
 
 use crate::batch_queue::{BatchQueue, Ticket};
 use crate::completion::Ask;
-use crate::control::{Artifact, Control, RunnerBook};
+use crate::control::{Artifact, Control, MemoryLedger};
 use crate::demand::Demand;
 use crate::fleet::{Fleet, Runner};
 use crate::inventory::{Name, RoutingRule, Rules};
@@ -45,7 +45,7 @@
     }
 
     /// Whether all artifacts of the target are resident or loading, by a runner's memory ledger.
-    pub(crate) fn is_resident_or_loading_in(&self, memory_ledger: &RunnerBook) -> bool {
+    pub(crate) fn is_resident_or_loading_in(&self, memory_ledger: &MemoryLedger) -> bool {
         std::iter::once(&self.base)
             .chain(&self.adapter)
             .all(|artifact| memory_ledger.is_coming(artifact))
@@ -60,11 +60,11 @@
     /// Returns the same target in the other versions that the memory ledgers list.
     fn other_versions(&self, control: &Control) -> Vec<Self> {
         let mut found = Vec::new();
-        for memory_ledger in control.books.values() {
+        for memory_ledger in control.ledgers.values() {
             let bases = memory_ledger
                 .copies
                 .keys()
-                .filter(|held| held.serves_same(&self.base));
+                .filter(|held| held.has_same_name(&self.base));
             for base in bases {
                 let target = match &self.adapter {
                     None => Some(Self {
@@ -74,7 +74,7 @@
                     Some(adapter) => memory_ledger
                         .copies
                         .keys()
-                        .find(|held| held.serves_same(adapter))
+                        .find(|held| held.has_same_name(adapter))
                         .map(|held| Self {
                             base: base.clone(),
                             adapter: Some(held.clone()),
@@ -201,7 +201,7 @@
         let answers = |name: &str| self.fleet.runner(name).is_some_and(|it| it.is_answering());
         self.control.with(|control| {
             let in_ledger = control
-                .books
+                .ledgers
                 .iter()
                 .any(|(name, memory)| wanted.is_resident_or_loading_in(memory) && answers(name));
             let in_force = control
