--- /dev/null
+++ b/src/gateway/tests/gossip_sender.rs
@@ -0,0 +1,68 @@
+//! When the leader sends what runners hold.
+
+use crate::gateway::fleet::{Entry, Fleet, Holding, ServerState};
+use crate::gateway::gossip_sender::AdvertisedHoldings;
+use std::time::{Duration, Instant};
+
+const ROUND: Duration = Duration::from_millis(200);
+
+fn holding(model: &str, adapters: &[&str]) -> Holding {
+    Holding {
+        model: model.into(),
+        version: 1,
+        adapters: adapters.iter().map(|it| (*it).into()).collect(),
+    }
+}
+
+/// The number of times that the holdings are sent in ten seconds without a change.
+fn sends_without_change(mut holdings: AdvertisedHoldings, is_listed: bool, now: Instant) -> usize {
+    let rounds = (0..50).map(|round| now + ROUND * round);
+    rounds
+        .filter(|now| holdings.take_due(is_listed, *now))
+        .count()
+}
+
+#[test]
+fn holdings_in_the_directory_are_sent_only_when_they_change() {
+    let now = Instant::now();
+    let holdings = || AdvertisedHoldings::new(&[holding("m", &[])], now);
+    assert_eq!(
+        sends_without_change(holdings(), true, now),
+        3,
+        "a message may be lost"
+    );
+    // VMs that missed the messages or started later can't learn the holdings from the directory.
+    assert!(sends_without_change(holdings(), false, now) >= 6);
+}
+
+#[test]
+fn a_change_is_sent_even_if_the_directory_already_lists_it() {
+    let now = Instant::now();
+    let mut holdings = AdvertisedHoldings::new(&[holding("m", &[])], now);
+    let later = now + Duration::from_secs(5);
+    assert!(!holdings.take_due(true, later));
+    holdings.update(&[holding("m", &["a"])], later);
+    assert!(holdings.take_due(true, later));
+}
+
+#[test]
+fn the_order_of_models_and_adapters_does_not_matter() {
+    let fleet = Fleet::default();
+    fleet.take(Entry {
+        id: "i".into(),
+        started_ms: 1,
+        sequence: 1,
+        service: "s".into(),
+        address: "127.0.0.1:1".parse().expect("an address"),
+        availability_zone: "a".into(),
+        slots: 4,
+        state: ServerState::Ready,
+        holdings: vec![holding("m", &["a", "b"]), holding("n", &[])],
+        in_memory: Vec::new(),
+        on_disk: Vec::new(),
+    });
+    let server = fleet.server("i").expect("the server is in the fleet");
+    assert!(server.lists(&[holding("n", &[]), holding("m", &["b", "a"])]));
+    assert!(!server.lists(&[holding("m", &["a", "b"])]));
+    assert!(!server.lists(&[holding("n", &[]), holding("m", &["a", "c"])]));
+}
