--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -1,16 +1,18 @@
-//! The directory of backend servers, from the records of the platform's store.
+//! The directory of backend servers, read from records in the platform's store.
 
 use crate::gateway::{Changes, ServerChange};
 use crate::inventory::Name;
-use crate::platform::entries::{self, UNTOLD_START};
+use crate::platform::entries::{self, UNKNOWN_START};
 use crate::platform::store::KeyedRecord;
 use std::cell::Cell;
 
-/// The changes of the directory; `tells_start` says whether its servers tell their start, and
-/// an entry without one is then another writer's.
+/// Decodes records into changes to the directory.
+///
+/// `servers_report_start` is set once any entry has a start time. From then on an entry without one
+/// was left by another writer, and its server is reported as removed.
 pub(super) fn server_changes(
     records: Changes<KeyedRecord>,
-    tells_start: &Cell<bool>,
+    servers_report_start: &Cell<bool>,
 ) -> Changes<ServerChange> {
     let changes = records.items.into_iter().filter_map(|record| {
         let id = Name::from(std::str::from_utf8(&record.key).ok()?);
@@ -19,7 +21,7 @@
         }
         match entries::decode(id.clone(), &record.value) {
             Ok(entry) => Some(ServerChange::Upserted(entry)),
-            // Whoever wrote it, it names no server to use; one that lives writes anew.
+            // The server cannot be used by this entry; if it is running, it writes a new one.
             Err(error) => {
                 tracing::warn!(server = %id, %error, "server's entry unreadable");
                 Some(ServerChange::Removed(id))
@@ -27,13 +29,13 @@
         }
     });
     let mut items: Vec<ServerChange> = changes.collect();
-    let started = |change: &ServerChange| match change {
-        ServerChange::Upserted(entry) => entry.started_ms != UNTOLD_START,
+    let has_start = |change: &ServerChange| match change {
+        ServerChange::Upserted(entry) => entry.started_ms != UNKNOWN_START,
         ServerChange::Removed(_) => false,
     };
-    tells_start.set(tells_start.get() || items.iter().any(started));
-    if tells_start.get() {
-        items = items.into_iter().map(with_start).collect();
+    servers_report_start.set(servers_report_start.get() || items.iter().any(has_start));
+    if servers_report_start.get() {
+        items = items.into_iter().map(require_start).collect();
     }
     Changes {
         items,
@@ -41,11 +43,11 @@
     }
 }
 
-/// The change, if it is one of a server that tells its start.
-fn with_start(change: ServerChange) -> ServerChange {
+/// Replaces an entry without a start time by the removal of its server.
+fn require_start(change: ServerChange) -> ServerChange {
     match change {
-        ServerChange::Upserted(entry) if entry.started_ms == UNTOLD_START => {
-            tracing::warn!(server = %entry.id, "server's entry without its start");
+        ServerChange::Upserted(entry) if entry.started_ms == UNKNOWN_START => {
+            tracing::warn!(server = %entry.id, "server's entry without start time");
             ServerChange::Removed(entry.id)
         }
         change => change,
--- a/src/platform/entries.rs
+++ b/src/platform/entries.rs
@@ -1,4 +1,4 @@
-//! Backend servers as they enter themselves in the platform's store.
+//! The entries that backend servers write about themselves into the platform's store.
 
 use crate::gateway::{Entry, Holding, ServerState};
 use crate::inventory::Name;
@@ -8,26 +8,28 @@
 use std::net::SocketAddr;
 use std::num::NonZero;
 
-/// Stands for the start of runners that do not tell it.
-pub(super) const UNTOLD_START: u64 = 0;
+/// The start time of a runner that does not report one.
+pub(super) const UNKNOWN_START: u64 = 0;
 
-/// What a runner writes of itself; what lacks any of it was written by something else.
+/// A runner's entry. An entry without one of the required fields was not written by a runner and
+/// is refused.
 #[derive(Deserialize)]
 struct WireEntry {
     service: Name,
     address: SocketAddr,
     zone: Name,
-    /// The version of its software, not of weights.
+    /// The version of the runner's software, not of weights.
     #[serde(rename = "version")]
     _software: Name,
     slots: NonZero<u32>,
     state: WireState,
     #[serde(rename = "cold_remaining_ms")]
     _slow_for_ms: f64,
-    /// Counts what the runner wrote, unlike the field of that name in its report.
+    /// The number of entries that the runner has written; the field of the same name in its
+    /// report counts orders.
     sequence: u64,
-    /// When the process started, in Unix milliseconds; where no runner tells it, each start
-    /// has an id of its own.
+    /// When the process started, in Unix milliseconds. Where no runner reports it, a runner has
+    /// a new id after each start.
     #[serde(default)]
     born: Option<u64>,
     #[serde(default)]
@@ -43,7 +45,7 @@
     Draining,
 }
 
-/// A model that a runner holds.
+/// A model that is loaded on a runner, with its adapters.
 #[derive(Deserialize)]
 pub(super) struct WireHolding {
     name: Name,
@@ -53,7 +55,7 @@
     adapters: Vec<WireAdapter>,
 }
 
-/// An adapter, by its name alone or with its version.
+/// An adapter, given by its name or by an object with its name and version.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum WireAdapter {
@@ -61,7 +63,7 @@
     Versioned { name: Name },
 }
 
-/// Weights that a runner can load without the weight store.
+/// Weights that a runner can load without fetching them from the weight store.
 #[derive(Default, Deserialize)]
 struct WireAtHand {
     #[serde(default)]
@@ -83,26 +85,30 @@
     }
 }
 
-/// The start of a runner's process; a runner that tells it names a moment.
-pub(super) fn start_of(born: Option<u64>) -> Result<u64, serde_json::Error> {
+/// Checks the reported start time of a runner's process; [`UNKNOWN_START`] if none is reported.
+///
+/// # Errors
+///
+/// Fails if the reported time is 0, which stands for an unknown one.
+pub(super) fn parse_start(born: Option<u64>) -> Result<u64, serde_json::Error> {
     match born {
-        Some(UNTOLD_START) => Err(serde_json::Error::custom("born is no moment")),
-        born => Ok(born.unwrap_or(UNTOLD_START)),
+        Some(UNKNOWN_START) => Err(serde_json::Error::custom("born must not be 0")),
+        born => Ok(born.unwrap_or(UNKNOWN_START)),
     }
 }
 
-/// What a runner holds.
+/// Converts the models that are loaded on a runner.
 pub(super) fn holdings(wire: Vec<Object<WireHolding>>) -> Vec<Holding> {
     wire.into_iter().map(|Object(it)| it.into()).collect()
 }
 
-/// Reads an entry; its key is the server's id.
+/// Decodes an entry; `id` is the record's key, which is the server's id.
 pub(super) fn decode(id: Name, value: &[u8]) -> Result<Entry, serde_json::Error> {
     let Object(wire) = serde_json::from_slice::<Object<WireEntry>>(value)?;
     let Object(at_hand) = wire.at_hand;
     Ok(Entry {
         id,
-        started_ms: start_of(wire.born)?,
+        started_ms: parse_start(wire.born)?,
         sequence: wire.sequence,
         service: wire.service,
         address: wire.address,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The users' platform: its names, formats and calls, and nothing that decides.
+//! The adapter to the users' platform: its names, formats and calls.
 //!
-//! Each file translates one part of what the platform speaks into the types of
-//! [`crate::gateway`].
+//! Each file translates one part of the platform's interfaces into the types of
+//! [`crate::gateway`], which makes all decisions.
 
 mod configuration;
 mod directory;
@@ -19,5 +19,5 @@
 pub(crate) use settings::{load_settings, settings_path};
 pub(crate) use store::PlatformStore;
 
-/// Where a VM tells whether it takes new connections.
+/// The path at which a VM reports whether it accepts new connections.
 pub(crate) const READY_PATH: &str = "/-/readiness";
--- a/src/platform/object.rs
+++ b/src/platform/object.rs
@@ -1,18 +1,18 @@
-//! A JSON object read as a struct.
+//! Strict deserialization of JSON objects.
 
 use serde::de::{DeserializeOwned, Error};
 use serde::{Deserialize, Deserializer};
 use serde_json::{Map, Value};
 
-/// What stands in a JSON object, and only in one: a derived reader also takes an array for a
-/// struct, which nobody means.
+/// A value that is deserialized from a JSON object only. A derived `Deserialize` of a struct also
+/// accepts an array of its fields, which no writer of these formats uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Object<T>(pub(super) T);
 
 impl<'de, T: DeserializeOwned> Deserialize<'de> for Object<T> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let fields = Map::deserialize(deserializer)?;
-        let inner = T::deserialize(Value::Object(fields));
-        inner.map(Self).map_err(D::Error::custom)
+        let value = T::deserialize(Value::Object(fields));
+        value.map(Self).map_err(D::Error::custom)
     }
 }
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -1,10 +1,10 @@
-//! Orders to model runners and their own account, as the platform words them.
+//! Orders to model runners and the runners' reports, in the platform's format.
 
 use crate::client::{Connection, SendError};
 use crate::gateway::{Order, OrderOutcome, RunnerControl, RunnerReport, Weights};
 use crate::http::{Body, read_body};
 use crate::inventory::Name;
-use crate::platform::entries::{WireHolding, holdings, start_of};
+use crate::platform::entries::{WireHolding, holdings, parse_start};
 use crate::platform::object::Object;
 use bytes::Bytes;
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -18,13 +18,13 @@
 const EXPECT_SERVER: HeaderName = HeaderName::from_static("x-expect-instance");
 /// How long a runner may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a runner may take to answer: it does within milliseconds, and an order without
-/// an answer can be given again, since a runner carries out only the one that it expects.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// The largest account of a runner.
+/// How long a runner may take to respond. Runners respond within milliseconds, and an order
+/// without a response can be sent again, since a runner executes only the order that it expects.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// The largest accepted report of a runner, in bytes.
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
-/// The control side of the platform's model runners.
+/// A client of the control interface of the platform's model runners.
 #[derive(Debug)]
 pub(crate) struct PlatformRunners;
 
@@ -34,7 +34,8 @@
     model: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     adapter: Option<&'a str>,
-    /// The number of orders that the runner has accepted, if it must be just that.
+    /// The number of orders that the runner must have accepted before; it refuses the order if
+    /// its own count differs.
     #[serde(skip_serializing_if = "Option::is_none")]
     precondition: Option<u64>,
     holder: &'a str,
@@ -47,18 +48,19 @@
     models: Vec<Object<WireHolding>>,
     #[serde(default)]
     busy: bool,
-    /// Orders accepted since the start.
+    /// The number of orders accepted since the runner started.
     #[serde(default)]
     sequence: u64,
     /// When the process started, in Unix milliseconds.
     #[serde(default)]
     born: Option<u64>,
-    /// Adapters on their way, as MODEL/NAME@VERSION.
+    /// Adapters that are being loaded, as MODEL/NAME@VERSION.
     #[serde(default)]
     coming: Vec<String>,
 }
 
-fn coming(text: &str) -> Option<Weights> {
+/// Parses MODEL/NAME@VERSION, without the version.
+fn loading_adapter(text: &str) -> Option<Weights> {
     let (name, _version) = text.split_once('@').unwrap_or((text, ""));
     let (model, adapter) = name.split_once('/')?;
     Some(Weights {
@@ -67,57 +69,61 @@
     })
 }
 
-/// Reads a runner's own account.
+/// Decodes a runner's report.
 pub(super) fn decode_report(body: &[u8]) -> Result<RunnerReport, serde_json::Error> {
     let Object(wire) = serde_json::from_slice::<Object<WireReport>>(body)?;
     Ok(RunnerReport {
         holdings: holdings(wire.models),
         is_busy: wire.busy,
         orders: wire.sequence,
-        started_ms: start_of(wire.born)?,
-        coming: wire.coming.iter().filter_map(|it| coming(it)).collect(),
+        started_ms: parse_start(wire.born)?,
+        coming: wire
+            .coming
+            .iter()
+            .filter_map(|it| loading_adapter(it))
+            .collect(),
     })
 }
 
-/// Sends one request over a connection of its own.
+/// Sends one request over a new connection and reads the response.
 async fn call(
     address: SocketAddr,
     request: Request<Body>,
 ) -> Result<(StatusCode, Bytes), SendError> {
     let exchange = async {
         let mut connection =
-            Connection::open_owned(address, CONNECT_TIMEOUT, ANSWER_TIMEOUT).await?;
+            Connection::open_owned(address, CONNECT_TIMEOUT, RESPONSE_TIMEOUT).await?;
         let response = connection.send(request).await?;
         let status = response.status();
         let body = read_body(response.into_body(), MAX_REPORT_BYTES).await;
-        let body = body.map_err(|_cut| SendError::MaybeSent)?;
+        let body = body.map_err(|_error| SendError::MaybeSent)?;
         Ok((status, body))
     };
-    compio::time::timeout(CONNECT_TIMEOUT + ANSWER_TIMEOUT, exchange)
+    compio::time::timeout(CONNECT_TIMEOUT + RESPONSE_TIMEOUT, exchange)
         .await
         .unwrap_or(Err(SendError::MaybeSent))
 }
 
-fn host(address: SocketAddr) -> HeaderValue {
+fn host_header(address: SocketAddr) -> HeaderValue {
     HeaderValue::from_str(&address.to_string()).expect("an address is a header value")
 }
 
 impl RunnerControl for PlatformRunners {
     async fn report(&self, address: SocketAddr, server: &str) -> Option<RunnerReport> {
         let request = Request::get(REPORT_PATH)
-            .header(header::HOST, host(address))
+            .header(header::HOST, host_header(address))
             .header(EXPECT_SERVER, server)
             .body(Body::empty())
             .ok()?;
         let (status, body) = match call(address, request).await {
             Ok(answer) => answer,
             Err(error) => {
-                tracing::info!(server, %address, ?error, "runner's account not read");
+                tracing::info!(server, %address, ?error, "runner's report not read");
                 return None;
             }
         };
         if status != StatusCode::OK {
-            tracing::info!(server, %address, %status, "runner refuses its account");
+            tracing::info!(server, %address, %status, "runner refused its report");
             return None;
         }
         match decode_report(&body) {
@@ -144,7 +150,7 @@
         };
         let body = serde_json::to_vec(&wire).expect("an order serializes");
         let request = Request::post(ORDER_PATH)
-            .header(header::HOST, host(address))
+            .header(header::HOST, host_header(address))
             .header(header::CONTENT_TYPE, "application/json")
             .header(EXPECT_SERVER, order.server)
             .body(Body::full(body));
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: a log with keyed topics and groups, and who enters what there.
+//! A client of the platform's store: a log with keyed topics, and groups of members.
 
 use crate::client::{Connection, SendError};
 use crate::gateway::{
@@ -20,8 +20,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The calls, as metrics name them.
-const CALLS: [&str; 6] = [
+/// The paths of the store's calls, which are also their names in metrics.
+const CALL_PATHS: [&str; 6] = [
     "/-/log-newest",
     "/-/log-read",
     "/-/log-append",
@@ -29,31 +29,32 @@
     "/-/log-leave",
     "/-/log-owners",
 ];
-/// The topic that the operator writes.
+/// The keyed topic to which the operator writes.
 const OPERATOR_TOPIC: &str = "keyed.op";
-/// The key of the configuration in it.
+/// The key of the configuration in the operator's topic.
 const CONFIGURATION_KEY: &[u8] = b"config";
-/// The topic in which backend servers enter themselves.
+/// The keyed topic to which backend servers write their entries.
 const SERVERS_TOPIC: &str = "keyed.servers";
-/// The topic whose partitions are dealt out among VMs.
+/// The topic whose partitions the store assigns to VMs.
 const MEMBERS_TOPIC: &str = "members";
-/// The topic of claims.
+/// The topic of leadership claims.
 const CLAIMS_TOPIC: &str = "claims";
-/// The group of all VMs.
+/// The name of the group that all VMs join.
 const GROUP: &str = "rattanjunction";
-/// The partition whose owner is to lead.
-const FIRST_PARTITION: u64 = 0;
+/// The partition whose owner may claim leadership.
+const LEADER_PARTITION: u64 = 0;
 
 /// How long the store may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an answer may take beyond the wait that was asked for. A store that is slow by
-/// the worst factor seen in trials answers in a third of a second.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
-/// The largest answer: the operator's limit on a configuration is far below it.
-const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
-/// Kilobytes that one read asks for.
+/// How long a response may take beyond the requested wait. At the worst slowdown seen, the store
+/// responds within a third of a second.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
+/// The largest accepted response, in bytes; the operator's limit on the size of a configuration
+/// is far below it.
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
+/// The most that one read returns, in kilobytes.
 const READ_KB: u32 = 1_024;
-/// Idle connections kept.
+/// The number of idle connections that are kept open for reuse.
 const MAX_IDLE: usize = 4;
 
 /// A client of the platform's store.
@@ -62,8 +63,8 @@
     address: SocketAddr,
     idle: RefCell<Vec<Connection>>,
     metrics: Rc<Metrics>,
-    /// Whether servers tell when they started.
-    tells_start: Cell<bool>,
+    /// Whether any server has reported its start time.
+    servers_report_start: Cell<bool>,
 }
 
 #[derive(Deserialize)]
@@ -101,13 +102,13 @@
 #[derive(Deserialize)]
 struct WireJoined {
     generation: u64,
-    /// The member's partitions: topic, partition, committed offset.
+    /// The partitions that the member owns: topic, partition, committed offset.
     parts: Vec<(String, u64, u64)>,
 }
 
 #[derive(Deserialize)]
 struct WireOwners {
-    /// All partitions: topic, partition, member, committed offset.
+    /// All partitions: topic, partition, owning member, committed offset.
     parts: Vec<(String, u64, String, u64)>,
 }
 
@@ -121,23 +122,24 @@
     end: u64,
 }
 
-/// A record of a keyed topic; without a value the key is dropped.
+/// A record of a keyed topic; an empty value deletes the key.
 pub(super) struct KeyedRecord {
     pub(super) key: Bytes,
     pub(super) value: Bytes,
 }
 
 impl PlatformStore {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`; connections are opened on demand.
     pub(crate) fn new(address: SocketAddr, metrics: Rc<Metrics>) -> Self {
         Self {
             address,
             idle: RefCell::default(),
             metrics,
-            tells_start: Cell::new(false),
+            servers_report_start: Cell::new(false),
         }
     }
 
+    /// Makes a call to the store and records it in the metrics.
     async fn call(
         &self,
         method: Method,
@@ -146,19 +148,20 @@
         wait: Duration,
     ) -> Result<(StatusCode, Bytes), StoreError> {
         let began = Instant::now();
-        let answer = self.call_untold(method, path, body, wait).await;
+        let answer = self.send_call(method, path, body, wait).await;
         let outcome = match &answer {
             Ok((status, _)) if status.is_success() => "answered",
             Ok(_) | Err(StoreError::Refused) => "refused",
             Err(_) => "unanswered",
         };
-        let call = CALLS.iter().find(|call| path.starts_with(**call));
+        let call = CALL_PATHS.iter().find(|call| path.starts_with(**call));
         let call = call.copied().unwrap_or("other");
         self.metrics.note_store_call(call, outcome, began.elapsed());
         answer
     }
 
-    async fn call_untold(
+    /// Makes a call over an idle connection, or over a new one if there is none or it was closed.
+    async fn send_call(
         &self,
         method: Method,
         path: &str,
@@ -166,36 +169,37 @@
         wait: Duration,
     ) -> Result<(StatusCode, Bytes), StoreError> {
         let exchange = async {
-            let kept = self.take();
-            if let Some(connection) = kept {
+            let idle = self.take_idle();
+            if let Some(connection) = idle {
                 match self.exchange(connection, &method, path, &body).await {
-                    // It was closed before the request was written.
+                    // The connection was closed before the request was written.
                     Err(SendError::NotSent) => {}
                     outcome => return outcome,
                 }
             }
-            let limit = ANSWER_TIMEOUT + wait;
+            let limit = RESPONSE_TIMEOUT + wait;
             let opened = Connection::open_owned(self.address, CONNECT_TIMEOUT, limit).await?;
             self.exchange(opened, &method, path, &body).await
         };
-        let outcome = compio::time::timeout(ANSWER_TIMEOUT + wait, exchange);
+        let outcome = compio::time::timeout(RESPONSE_TIMEOUT + wait, exchange);
         match outcome.await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(SendError::NotSent)) => Err(StoreError::Refused),
             Ok(Err(SendError::MaybeSent)) => Err(StoreError::Unanswered),
             Err(_elapsed) => {
-                // The others may have gone silent with this one.
+                // The idle connections may be as unresponsive as this one.
                 self.idle.borrow_mut().clear();
                 Err(StoreError::Unanswered)
             }
         }
     }
 
-    fn take(&self) -> Option<Connection> {
+    /// Takes an idle connection that can send a request at once.
+    fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| !connection.is_closed());
-        let ready = idle.iter().position(Connection::is_ready)?;
-        Some(idle.swap_remove(ready))
+        let index = idle.iter().position(Connection::is_ready)?;
+        Some(idle.swap_remove(index))
     }
 
     async fn exchange(
@@ -215,8 +219,8 @@
             .expect("the parts are valid");
         let response = connection.send(request).await?;
         let status = response.status();
-        let body = read_body(response.into_body(), MAX_ANSWER_BYTES).await;
-        let body = body.map_err(|_cut| SendError::MaybeSent)?;
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
+        let body = body.map_err(|_error| SendError::MaybeSent)?;
         let mut idle = self.idle.borrow_mut();
         if idle.len() < MAX_IDLE {
             idle.push(connection);
@@ -226,7 +230,7 @@
 
     async fn get(&self, path: &str, wait: Duration) -> Result<Bytes, StoreError> {
         let answer = self.call(Method::GET, path, Bytes::new(), wait).await?;
-        accept(answer)
+        success_body(answer)
     }
 
     async fn post(&self, path: &str, body: &impl Serialize) -> Result<Bytes, StoreError> {
@@ -234,24 +238,25 @@
         let answer = self
             .call(Method::POST, path, body.into(), Duration::ZERO)
             .await?;
-        accept(answer)
+        success_body(answer)
     }
 
-    /// The newest record of each key, and the offset to read on from.
-    async fn newest_of(&self, topic: &str) -> Result<Changes<KeyedRecord>, StoreError> {
+    /// Reads the newest record of each key, page by page, and the offset at which to continue.
+    async fn read_newest(&self, topic: &str) -> Result<Changes<KeyedRecord>, StoreError> {
         let mut records = Vec::new();
         let mut next = None;
         let mut after = String::new();
         loop {
             let path = format!("/-/log-newest?topic={topic}&part=0{after}");
             let page: WireNewest = parse(&self.get(&path, Duration::ZERO).await?)?;
-            // Pages are no snapshot: what changes after the first is read again.
+            // The pages are not one consistent snapshot. Reading continues at the end offset of the
+            // first page, so that records appended during the later pages are not missed.
             let end = *next.get_or_insert(page.end);
             if let Some(last) = page.items.last() {
                 after = format!("&after={}", last.key);
             }
             for item in page.items {
-                let value = BASE64_STANDARD.decode(&item.value).map_err(garbled)?;
+                let value = BASE64_STANDARD.decode(&item.value).map_err(warn_garbled)?;
                 records.push(KeyedRecord {
                     key: item.key.into(),
                     value: value.into(),
@@ -266,8 +271,8 @@
         }
     }
 
-    /// The records of a keyed topic from an offset on.
-    async fn records_of(
+    /// Reads the records of a keyed topic from an offset on.
+    async fn read_records(
         &self,
         topic: &str,
         from: u64,
@@ -280,7 +285,7 @@
         let answer = self.get(&path, wait).await?;
         let records = split_records(answer).ok_or(StoreError::Garbled)?;
         let next = from + records.len() as u64;
-        let items: Option<Vec<KeyedRecord>> = records.into_iter().map(keyed).collect();
+        let items: Option<Vec<KeyedRecord>> = records.into_iter().map(parse_keyed_record).collect();
         Ok(Changes {
             items: items.ok_or(StoreError::Garbled)?,
             next,
@@ -288,17 +293,17 @@
     }
 }
 
-fn garbled(error: impl std::fmt::Display) -> StoreError {
-    tracing::warn!(%error, "store's answer unreadable");
+fn warn_garbled(error: impl std::fmt::Display) -> StoreError {
+    tracing::warn!(%error, "store's response unreadable");
     StoreError::Garbled
 }
 
 fn parse<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, StoreError> {
-    serde_json::from_slice(bytes).map_err(garbled)
+    serde_json::from_slice(bytes).map_err(warn_garbled)
 }
 
-/// The body of an answer that says yes.
-fn accept((status, body): (StatusCode, Bytes)) -> Result<Bytes, StoreError> {
+/// Returns the body of a successful response, and maps other statuses to errors.
+fn success_body((status, body): (StatusCode, Bytes)) -> Result<Bytes, StoreError> {
     match status {
         StatusCode::OK => Ok(body),
         StatusCode::GONE => Err(StoreError::Compacted),
@@ -313,7 +318,8 @@
     }
 }
 
-/// The records after the end and the first retained offset, eight bytes each.
+/// Splits the response to a read into records, each of which follows its length in four bytes.
+/// The response begins with the end offset and the first retained offset, eight bytes each.
 fn split_records(mut answer: Bytes) -> Option<Vec<Bytes>> {
     let mut records = Vec::new();
     answer.try_get_u64().ok()?;
@@ -328,8 +334,8 @@
     Some(records)
 }
 
-/// A record's key, after the byte with its length, and its value.
-fn keyed(mut record: Bytes) -> Option<KeyedRecord> {
+/// Splits a record into its key and value; the first byte is the length of the key.
+fn parse_keyed_record(mut record: Bytes) -> Option<KeyedRecord> {
     let length = usize::from(record.try_get_u8().ok()?);
     if record.len() < length {
         return None;
@@ -338,15 +344,16 @@
     Some(KeyedRecord { key, value: record })
 }
 
-fn configurations(records: Changes<KeyedRecord>) -> Changes<Configuration> {
-    let of_key = records
+/// Decodes the configurations among the operator's records; invalid ones are skipped.
+fn decode_configurations(records: Changes<KeyedRecord>) -> Changes<Configuration> {
+    let matching = records
         .items
         .iter()
         .filter(|record| record.key == CONFIGURATION_KEY && !record.value.is_empty());
-    let items = of_key.filter_map(|record| match configuration::decode(&record.value) {
+    let items = matching.filter_map(|record| match configuration::decode(&record.value) {
         Ok(configuration) => Some(configuration),
         Err(error) => {
-            tracing::error!(%error, "configuration unreadable; the present one stays in force");
+            tracing::error!(%error, "configuration unreadable; the current one remains in force");
             None
         }
     });
@@ -358,7 +365,9 @@
 
 impl ConfigSource for PlatformStore {
     async fn newest(&self) -> Result<Changes<Configuration>, StoreError> {
-        self.newest_of(OPERATOR_TOPIC).await.map(configurations)
+        self.read_newest(OPERATOR_TOPIC)
+            .await
+            .map(decode_configurations)
     }
 
     async fn changes(
@@ -366,20 +375,20 @@
         from: u64,
         wait: Duration,
     ) -> Result<Changes<Configuration>, StoreError> {
-        let records = self.records_of(OPERATOR_TOPIC, from, wait).await;
-        records.map(configurations)
+        let records = self.read_records(OPERATOR_TOPIC, from, wait).await;
+        records.map(decode_configurations)
     }
 }
 
 impl Directory for PlatformStore {
     async fn entries(&self) -> Result<Changes<ServerChange>, StoreError> {
-        let records = self.newest_of(SERVERS_TOPIC).await?;
-        Ok(server_changes(records, &self.tells_start))
+        let records = self.read_newest(SERVERS_TOPIC).await?;
+        Ok(server_changes(records, &self.servers_report_start))
     }
 
     async fn changes_since(&self, from: u64) -> Result<Changes<ServerChange>, StoreError> {
-        let records = self.records_of(SERVERS_TOPIC, from, Duration::ZERO).await;
-        Ok(server_changes(records?, &self.tells_start))
+        let records = self.read_records(SERVERS_TOPIC, from, Duration::ZERO).await;
+        Ok(server_changes(records?, &self.servers_report_start))
     }
 }
 
@@ -401,7 +410,7 @@
         let mut parts = joined.parts.iter();
         Ok(Membership {
             generation: joined.generation,
-            is_first: parts.any(|(_, part, _)| *part == FIRST_PARTITION),
+            is_first: parts.any(|(_, part, _)| *part == LEADER_PARTITION),
         })
     }
 
@@ -413,7 +422,8 @@
         self.post("/-/log-leave", &leave).await.map(drop)
     }
 
-    /// The owners of partitions: each member has one unless there are more members.
+    /// Lists the owners of partitions. Each member owns one unless there are more members than
+    /// partitions, so the list is known to be complete only if there are fewer owners.
     async fn members(&self) -> Result<Members, StoreError> {
         let path = format!("/-/log-owners?group={GROUP}");
         let answer = self.get(&path, Duration::ZERO).await?;
@@ -430,7 +440,7 @@
 
 impl Claims for PlatformStore {
     async fn has_later_claim(&self, fence: u64) -> Result<bool, StoreError> {
-        // A claim's fence is the offset of the next one.
+        // A claim's fence is its offset plus one, which is the offset of the next claim.
         let path = format!("/-/log-read?topic={CLAIMS_TOPIC}&part=0&from={fence}&wait_ms=0");
         let answer = self.get(&path, Duration::ZERO).await;
         match answer {
@@ -438,22 +448,22 @@
                 let records = split_records(answer).ok_or(StoreError::Garbled)?;
                 Ok(!records.is_empty())
             }
-            // Records are forgotten only after later ones were written.
+            // Records are compacted away only after later ones have been appended.
             Err(StoreError::Compacted) => Ok(true),
             Err(error) => Err(error),
         }
     }
 
-    async fn claim(&self, holder: &str, place: u64) -> Result<u64, StoreError> {
+    async fn claim(&self, leader: &str, offset: u64) -> Result<u64, StoreError> {
         let mut record = BytesMut::new();
-        record.put_u32(holder.len() as u32);
-        record.put_slice(holder.as_bytes());
-        let path = format!("/-/log-append?topic={CLAIMS_TOPIC}&part=0&at={place}");
+        record.put_u32(leader.len() as u32);
+        record.put_slice(leader.as_bytes());
+        let path = format!("/-/log-append?topic={CLAIMS_TOPIC}&part=0&at={offset}");
         let answer = self
             .call(Method::POST, &path, record.freeze(), Duration::ZERO)
             .await?;
-        let appended: WireAppended = parse(&accept(answer)?)?;
-        // Fences begin at 1, so that none is taken for "no fence".
+        let appended: WireAppended = parse(&success_body(answer)?)?;
+        // Fences begin at 1, so that no claim's fence is mistaken for a missing one.
         Ok(appended.offset + 1)
     }
 }
