--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration as the platform keeps it.
+//! The operator's configuration in the platform's format.
 
 use crate::callers::{ApiKey, Measure, Organisation, Quota, Register};
 use crate::gateway::{Configuration, Engine, Limits, Model, Route, RouteKind, Service, Target};
@@ -15,7 +15,7 @@
     #[serde(default)]
     services: Vec<WireService>,
     limits: WireLimits,
-    /// Without this field requests need no key.
+    /// The organisations that may send requests; without this field requests need no key.
     tenants: Option<Vec<WireOrganisation>>,
 }
 
@@ -28,12 +28,13 @@
     timeout_ms: u64,
     #[serde(default)]
     target_latency_ms: f64,
-    /// The longest pause between two events.
+    /// The longest pause between two events of a stream that has its full value to the caller, in
+    /// milliseconds.
     #[serde(default)]
     gap_aim_ms: f64,
     #[serde(default)]
     priority: u32,
-    /// The only service; routes with shares name several instead.
+    /// The only service of the route; a route to several services has a `traffic_split` instead.
     #[serde(default)]
     service: Option<Name>,
     #[serde(default)]
@@ -69,7 +70,7 @@
 
 #[derive(Deserialize)]
 struct WireEngine {
-    /// A runner's room for weights and adapters together, not the size of one model.
+    /// A runner's capacity for models and adapters together, not the size of one model.
     weights_mb: f64,
     slots: u32,
     #[serde(default)]
@@ -100,31 +101,31 @@
     #[serde(default)]
     api_keys: Vec<WireKey>,
     priority: Option<u32>,
-    /// What requests are counted in.
+    /// What the quota counts: tokens for [`TOKEN_UNIT`], requests for anything else.
     #[serde(default)]
     unit: Name,
-    /// The amount a second; 0 for any.
+    /// The average amount allowed per second; 0 for no quota.
     #[serde(default)]
     rate_per_s: f64,
-    /// The amount at once.
+    /// The amount allowed at once after a pause.
     #[serde(default)]
     burst: f64,
-    /// Tokens of a request that tells none.
+    /// The number of tokens counted for a request that does not state one.
     #[serde(default)]
     plain_tokens: f64,
 }
 
-/// The unit of a quota that counts tokens.
-const TOKENS: &str = "token_stream";
+/// The value of `unit` for a quota that counts tokens.
+const TOKEN_UNIT: &str = "token_stream";
 
-/// A key, which is no [`String`] for longer than it takes to read it.
+/// An API key; its text is held as a [`String`] only while it is deserialized.
 struct WireKey(ApiKey);
 
 impl<'de> Deserialize<'de> for WireKey {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // What stands there instead is not told: it may be a key.
+        // The error leaves out the invalid value, since it may be a key.
         let text = String::deserialize(deserializer)
-            .map_err(|_not_text| D::Error::custom("a key must be text"))?;
+            .map_err(|_not_a_string| D::Error::custom("an API key must be a string"))?;
         Ok(Self(ApiKey::new(text.as_bytes())))
     }
 }
@@ -135,12 +136,12 @@
     idle_timeout_ms: u64,
 }
 
-/// Milliseconds from seconds; the platform gives fractions.
+/// Converts fractional seconds to whole milliseconds.
 fn millis(seconds: f64) -> u64 {
     (seconds * 1_000.0).round() as u64
 }
 
-/// Reads a configuration.
+/// Decodes a configuration, and logs keys that are listed for several organisations.
 pub(crate) fn decode(value: &[u8]) -> Result<Configuration, serde_json::Error> {
     let wire: WireConfiguration = serde_json::from_slice(value)?;
     let routes = wire.routes.into_iter().map(route).collect();
@@ -166,7 +167,7 @@
 
 fn organisation(wire: WireOrganisation) -> (Organisation, Vec<ApiKey>) {
     let measure = match wire.unit.as_str() {
-        TOKENS => Measure::Tokens {
+        TOKEN_UNIT => Measure::Tokens {
             untold: wire.plain_tokens,
         },
         _ => Measure::Requests,
@@ -186,7 +187,7 @@
 }
 
 fn route(wire: WireRoute) -> Route {
-    let alone = wire.service.map(|service| Target { service, weight: 1 });
+    let single = wire.service.map(|service| Target { service, weight: 1 });
     let shares = wire.traffic_split.into_iter().map(|share| Target {
         service: share.service,
         weight: share.weight.round() as u32,
@@ -207,7 +208,7 @@
         max_pause_ms: wire.gap_aim_ms.round() as u64,
         max_attempts: wire.max_attempts.unwrap_or(1),
         priority: wire.priority,
-        targets: alone.into_iter().chain(shares).collect(),
+        targets: single.into_iter().chain(shares).collect(),
     }
 }
 
