--- a/src/platform/requests.rs
+++ b/src/platform/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as the platform words them.
+//! Requests and responses in the platform's format.
 
 use crate::callers::ApiKey;
 use crate::gateway::{CallerRequest, Generation, Malformed, Protocol, Refusal, Reply, SendOptions};
@@ -11,41 +11,41 @@
 use hyper::{HeaderMap, Request, Response, Uri};
 use std::time::Duration;
 
-/// Names one sending of a request by its caller.
+/// The id of one attempt of a caller to send a request.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-attempt-id");
-/// How long the sender waits, in milliseconds.
+/// How long the sender waits for the complete response, in milliseconds.
 const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// The last event of a stream that need not be sent again.
-const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
-/// The model, and after a slash an adapter of it.
+/// The last event of a stream that the receiver has; the stream resumes after it.
+const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
+/// The model, optionally followed by a slash and one of its adapters.
 const MODEL: HeaderName = HeaderName::from_static("x-model");
-/// Tokens of the prompt, and the most that may be generated.
-const TOKENS: HeaderName = HeaderName::from_static("x-token-usage");
-/// The one server process that may run the request.
+/// The number of tokens in the prompt and the most that may be generated, with a comma between.
+const TOKEN_USAGE: HeaderName = HeaderName::from_static("x-token-usage");
+/// The id of the only server process that may execute the request.
 const EXPECT_SERVER: HeaderName = HeaderName::from_static("x-expect-instance");
-/// The one version of the weights that may run the request.
-const EXPECT_WEIGHTS: HeaderName = HeaderName::from_static("x-expect-version");
-/// The rank at a runner, 0 first.
+/// The only version of the weights with which the request may be executed.
+const EXPECT_WEIGHTS_VERSION: HeaderName = HeaderName::from_static("x-expect-version");
+/// The priority at the runner; 0 is the most urgent.
 const PRIORITY: HeaderName = HeaderName::from_static("x-request-priority");
-/// The digest of a server's answer.
+/// The digest with which a server signs its response.
 const SIGNATURE: HeaderName = HeaderName::from_static("x-server-signature");
-/// Says that the request did not run.
-const NOT_RUN: HeaderName = HeaderName::from_static("x-not-executed");
-/// The server process that answers.
-const SERVER: HeaderName = HeaderName::from_static("x-instance-id");
-/// The version of the weights.
-const WEIGHTS: HeaderName = HeaderName::from_static("x-weight-versions");
-
-/// The caller's key.
-const KEY: HeaderName = HeaderName::from_static("x-credential");
-/// The caller's organisation, as backend servers are told.
+/// Present if the server did not execute the request.
+const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
+/// The id of the server process that responds.
+const SERVER_ID: HeaderName = HeaderName::from_static("x-instance-id");
+/// The version of the weights that the server used.
+const WEIGHTS_VERSION: HeaderName = HeaderName::from_static("x-weight-versions");
+
+/// The caller's API key.
+const API_KEY: HeaderName = HeaderName::from_static("x-credential");
+/// The name of the caller's organisation, for the backend server.
 const ORGANISATION: HeaderName = HeaderName::from_static("x-tenant");
 
-/// The lowest rank that a runner knows.
+/// The greatest priority value that runners accept, which is the least urgent.
 const MAX_PRIORITY: u32 = 9;
 
-/// Headers that are about one connection only.
-const HOP_BY_HOP: [HeaderName; 10] = [
+/// Headers that apply to one connection only and are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -58,13 +58,13 @@
     header::EXPECT,
 ];
 
-/// Headers that are for this system alone, or its to set, whatever a caller sends.
-const OWN: [HeaderName; 11] = [
-    KEY,
+/// Headers that are meant for this system or set by it; a caller's values are not forwarded.
+const RESERVED_HEADERS: [HeaderName; 11] = [
+    API_KEY,
     ORGANISATION,
     DEADLINE_MS,
     EXPECT_SERVER,
-    EXPECT_WEIGHTS,
+    EXPECT_WEIGHTS_VERSION,
     PRIORITY,
     HeaderName::from_static("x-pin-ms"),
     HeaderName::from_static("x-hold"),
@@ -73,19 +73,19 @@
     HeaderName::from_static("kv-fetch"),
 ];
 
-/// The platform's protocol of requests.
+/// The platform's request protocol.
 #[derive(Debug)]
 pub(crate) struct PlatformProtocol;
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
-    text(headers, name)?.parse().ok()
+fn header_number<T: std::str::FromStr>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
+    header_text(headers, name)?.parse().ok()
 }
 
-/// Takes away what concerns one connection only.
+/// Removes the headers that apply to one connection only, with those that `Connection` names.
 fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -94,20 +94,20 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
     headers.remove(header::CONTENT_LENGTH);
 }
 
-/// Tokens of the prompt and those to generate at most.
+/// Parses the number of tokens in the prompt and the most to generate.
 fn tokens_of(headers: &HeaderMap) -> Option<(u32, u32)> {
-    let (prompt, most) = text(headers, &TOKENS)?.split_once(',')?;
-    Some((prompt.trim().parse().ok()?, most.trim().parse().ok()?))
+    let (prompt, max) = header_text(headers, &TOKEN_USAGE)?.split_once(',')?;
+    Some((prompt.trim().parse().ok()?, max.trim().parse().ok()?))
 }
 
 fn generation_of(headers: &HeaderMap) -> Option<Generation> {
-    let model = text(headers, &MODEL)?;
+    let model = header_text(headers, &MODEL)?;
     let (model, adapter) = match model.split_once('/') {
         Some((model, adapter)) => (model, Some(Name::from(adapter))),
         None => (model, None),
@@ -121,9 +121,9 @@
     })
 }
 
-/// The key of a caller that sends exactly one.
+/// Returns the caller's key; `None` unless the request has exactly one.
 fn key_of(headers: &HeaderMap) -> Option<ApiKey> {
-    let mut keys = headers.get_all(KEY).iter();
+    let mut keys = headers.get_all(API_KEY).iter();
     let key = keys.next()?;
     if keys.next().is_some() {
         return None;
@@ -131,9 +131,9 @@
     Some(ApiKey::new(key.as_bytes()))
 }
 
-/// The timeout of a `Keep-Alive` header.
+/// Parses the timeout of a `Keep-Alive` header.
 fn keep_alive_of(headers: &HeaderMap) -> Option<Duration> {
-    let value = text(headers, &HeaderName::from_static("keep-alive"))?;
+    let value = header_text(headers, &HeaderName::from_static("keep-alive"))?;
     let seconds = value
         .split(',')
         .find_map(|part| part.trim().strip_prefix("timeout="))?;
@@ -142,18 +142,18 @@
 
 impl Protocol for PlatformProtocol {
     fn read_caller_request(head: &request::Parts) -> Result<CallerRequest, Malformed> {
-        let id = text(&head.headers, &REQUEST_ID).ok_or(Malformed("no request id"))?;
+        let id = header_text(&head.headers, &REQUEST_ID).ok_or(Malformed("no request id"))?;
         let host = head
             .uri
             .authority()
             .map(|authority| authority.host())
-            .or_else(|| text(&head.headers, &header::HOST))
+            .or_else(|| header_text(&head.headers, &header::HOST))
             .ok_or(Malformed("no host"))?;
         let host = host.rsplit_once(':').map_or(host, |(host, _port)| host);
         let path = head.uri.path_and_query().cloned();
         let mut headers = head.headers.clone();
         strip_hop_by_hop(&mut headers);
-        for name in &OWN {
+        for name in &RESERVED_HEADERS {
             headers.remove(name);
         }
         Ok(CallerRequest {
@@ -161,8 +161,8 @@
             method: head.method.clone(),
             host: host.to_ascii_lowercase().into(),
             path: path.unwrap_or_else(|| PathAndQuery::from_static("/")),
-            patience: number(&head.headers, &DEADLINE_MS).map(Duration::from_millis),
-            last_event: number(&head.headers, &LAST_EVENT),
+            patience: header_number(&head.headers, &DEADLINE_MS).map(Duration::from_millis),
+            last_event: header_number(&head.headers, &LAST_EVENT_ID),
             tokens: tokens_of(&head.headers),
             key: key_of(&head.headers),
             generation: generation_of(&head.headers),
@@ -171,17 +171,17 @@
         })
     }
 
-    fn to_server(ask: &CallerRequest, options: &SendOptions<'_>) -> Request<Body> {
-        let body = if ask.body.is_empty() {
+    fn to_server(caller_request: &CallerRequest, options: &SendOptions<'_>) -> Request<Body> {
+        let body = if caller_request.body.is_empty() {
             Body::empty()
         } else {
-            Body::full(ask.body.clone())
+            Body::full(caller_request.body.clone())
         };
         let mut request = Request::new(body);
-        *request.method_mut() = ask.method.clone();
-        *request.uri_mut() = Uri::from(ask.path.clone());
+        *request.method_mut() = caller_request.method.clone();
+        *request.uri_mut() = Uri::from(caller_request.path.clone());
         let headers = request.headers_mut();
-        *headers = ask.headers.clone();
+        *headers = caller_request.headers.clone();
         headers.insert(DEADLINE_MS, (options.time_left.as_millis() as u64).into());
         headers.insert(PRIORITY, options.priority.min(MAX_PRIORITY).into());
         if let Ok(server) = HeaderValue::from_str(options.server) {
@@ -192,10 +192,10 @@
             headers.insert(ORGANISATION, organisation);
         }
         if let Some(last_event) = options.last_event {
-            headers.insert(LAST_EVENT, last_event.into());
+            headers.insert(LAST_EVENT_ID, last_event.into());
         }
         if let Some(weights_version) = options.weights_version {
-            headers.insert(EXPECT_WEIGHTS, weights_version.into());
+            headers.insert(EXPECT_WEIGHTS_VERSION, weights_version.into());
         }
         request
     }
@@ -203,11 +203,11 @@
     fn read_reply(head: &response::Parts) -> Reply {
         let headers = &head.headers;
         Reply {
-            request_id: text(headers, &REQUEST_ID).map(Name::from),
-            is_not_executed: headers.contains_key(&NOT_RUN),
-            server: text(headers, &SERVER).map(Name::from),
+            request_id: header_text(headers, &REQUEST_ID).map(Name::from),
+            is_not_executed: headers.contains_key(&NOT_EXECUTED),
+            server: header_text(headers, &SERVER_ID).map(Name::from),
             is_signed: headers.contains_key(&SIGNATURE),
-            weights_version: number(headers, &WEIGHTS),
+            weights_version: header_number(headers, &WEIGHTS_VERSION),
             keep_alive: keep_alive_of(headers),
         }
     }
