--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform writes for a process.
+//! The settings file that the platform writes for each process.
 
 use crate::callers::QuotaBounds;
 use crate::error::Fault;
@@ -12,16 +12,16 @@
 
 /// The environment variable that holds the path of the settings file.
 const PATH_VARIABLE: &str = "RATTANJUNCTION_BOOT";
-/// Where the file lies if the variable is not set.
+/// The path of the settings file if the variable is not set.
 const DEFAULT_PATH: &str = "/etc/rattanjunction/settings.toml";
 
-/// A whole file, whose values stand in for wrong ones while further errors are looked for.
+/// A valid settings file; its values replace invalid ones so that further errors can be found.
 const EXAMPLE: &str = include_str!("../../examples/front.toml");
-/// The longest time that a setting may give, in seconds: a day.
+/// The largest value of a setting in seconds: one day.
 const MAX_SECONDS: f64 = 86_400.0;
 
 #[derive(Deserialize)]
-struct File {
+struct SettingsFile {
     node_name: Name,
     ip: IpAddr,
     zone: Name,
@@ -29,7 +29,7 @@
     internal_ports: [u16; 2],
     listen: Listen,
     bounds: FileBounds,
-    platform: Platform,
+    platform: PlatformSettings,
 }
 
 #[derive(Deserialize)]
@@ -45,7 +45,7 @@
     budget_ratio: f64,
     budget_window_s: f64,
     budget_slack: f64,
-    /// Organisations' quotas are there only where this is.
+    /// Present wherever organisations have quotas.
     quota_window_s: Option<f64>,
     #[serde(default)]
     quota_overage: f64,
@@ -59,21 +59,22 @@
 }
 
 #[derive(Deserialize)]
-struct Platform {
+struct PlatformSettings {
     address: SocketAddr,
     ttl_min_ms: u64,
 }
 
-/// The path of the settings file.
+/// Returns the path of the settings file.
 pub(crate) fn settings_path() -> PathBuf {
     std::env::var_os(PATH_VARIABLE).map_or_else(|| DEFAULT_PATH.into(), PathBuf::from)
 }
 
-/// Reads the settings; fields that are not known are ignored.
+/// Reads the settings file; unknown fields are ignored.
 ///
 /// # Errors
 ///
-/// Names the file and the field that is wrong.
+/// Fails if the file cannot be read or has invalid fields; the report names the file and the
+/// fields.
 pub(crate) fn load_settings(path: &Path) -> Result<Settings, Report<Fault>> {
     let text = std::fs::read_to_string(path)
         .change_context(Fault::Settings)
@@ -81,13 +82,13 @@
     parse_settings(&text).attach_with(|| path.display().to_string())
 }
 
-/// Reads settings from their text.
+/// Parses the text of a settings file.
 pub(super) fn parse_settings(text: &str) -> Result<Settings, Report<Fault>> {
     let table: toml::Table = toml::from_str(text).change_context(Fault::Settings)?;
-    let (file, mut problems) = read_whole(table);
-    problems.extend(file.iter().flat_map(out_of_range));
+    let (file, mut problems) = deserialize_lenient(table);
+    problems.extend(file.iter().flat_map(invalid_values));
     let Some(file) = file.filter(|_| problems.is_empty()) else {
-        return Err(refuse(problems));
+        return Err(problems_report(problems));
     };
     let bounds = &file.bounds;
     Ok(Settings {
@@ -123,20 +124,20 @@
     }
 }
 
-fn refuse(problems: Vec<Problem>) -> Report<Fault> {
+fn problems_report(problems: Vec<Problem>) -> Report<Fault> {
     let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
     Report::new(Fault::Settings).attach(lines.join("\n  "))
 }
 
-/// Deserializes the file and tells everything that is missing or of the wrong shape; where
-/// something is, the file holds the example's values instead.
-fn read_whole(table: toml::Table) -> (Option<File>, Vec<Problem>) {
+/// Deserializes the file and collects the fields that are missing or have the wrong type; the
+/// returned file has the example's values for them.
+fn deserialize_lenient(table: toml::Table) -> (Option<SettingsFile>, Vec<Problem>) {
     let example: toml::Table = toml::from_str(EXAMPLE).expect("the example is valid");
     let example = toml::Value::Table(example);
     let mut value = toml::Value::Table(table);
     let mut problems = Vec::new();
     loop {
-        let error = match serde_path_to_error::deserialize::<_, File>(value.clone()) {
+        let error = match serde_path_to_error::deserialize::<_, SettingsFile>(value.clone()) {
             Ok(file) => return (Some(file), problems),
             Err(error) => error,
         };
@@ -149,33 +150,33 @@
         }
         let path = path.trim_start_matches('.');
         problems.push(Problem::new(path, message));
-        // With the example's value in place of the wrong one, the next error shows.
+        // With the invalid value replaced by the example's, the next attempt finds the next error.
         let is_new = problems.iter().filter(|it| it.field == path).count() == 1;
-        if !is_new || !mend(&mut value, &example, path) {
+        if !is_new || !substitute_example(&mut value, &example, path) {
             return (None, problems);
         }
     }
 }
 
-/// Puts the example's value at a path; false if it has none there.
-fn mend(value: &mut toml::Value, example: &toml::Value, path: &str) -> bool {
+/// Replaces the value at a path by the example's; returns whether it could.
+fn substitute_example(value: &mut toml::Value, example: &toml::Value, path: &str) -> bool {
     let (parent, field) = path.rsplit_once('.').unwrap_or(("", path));
     let parents = || parent.split('.').filter(|part| !part.is_empty());
-    let sound = parents()
+    let substitute = parents()
         .chain([field])
         .try_fold(example, |value, part| value.get(part));
-    let place = parents().try_fold(value, |value, part| value.get_mut(part));
-    match (sound, place.and_then(toml::Value::as_table_mut)) {
-        (Some(sound), Some(table)) => {
-            table.insert(field.to_owned(), sound.clone());
+    let target = parents().try_fold(value, |value, part| value.get_mut(part));
+    match (substitute, target.and_then(toml::Value::as_table_mut)) {
+        (Some(substitute), Some(table)) => {
+            table.insert(field.to_owned(), substitute.clone());
             true
         }
         _ => false,
     }
 }
 
-/// What is of the right shape and yet not allowed.
-fn out_of_range(file: &File) -> Vec<Problem> {
+/// Finds the fields that have the right type but a value that is not allowed.
+fn invalid_values(file: &SettingsFile) -> Vec<Problem> {
     let mut problems = Vec::new();
     let bounds = &file.bounds;
     let seconds = [
@@ -187,7 +188,8 @@
     let windows = window.map(|value| ("bounds.quota_window_s", value));
     for (field, value) in seconds.into_iter().chain(windows) {
         if !(value > 0.0 && value <= MAX_SECONDS) {
-            let message = format!("is {value}, allowed are seconds up to {MAX_SECONDS}");
+            let message =
+                format!("is {value}, must be more than 0 and at most {MAX_SECONDS} seconds");
             problems.push(Problem::new(field, message));
         }
     }
@@ -201,7 +203,7 @@
         if !(value >= 0.0 && value.is_finite()) {
             problems.push(Problem::new(
                 field,
-                format!("is {value}, allowed is 0 or more"),
+                format!("is {value}, must be 0 or more"),
             ));
         }
     }
