--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform writes is read as it is meant, and what is wrong is named.
+//! Tests that the platform's formats are read correctly and that invalid input is reported.
 
 use crate::callers::ApiKey;
 use crate::gateway::{Changes, Protocol, RouteKind, SendOptions, ServerChange};
@@ -37,7 +37,7 @@
 
 #[test]
 fn settings_are_read_and_unknown_fields_ignored() {
-    let settings = parse_settings(SETTINGS).expect("they are whole");
+    let settings = parse_settings(SETTINGS).expect("the settings are valid");
     assert_eq!(settings.vm, "front-a-1");
     assert_eq!(settings.peer_address.to_string(), "10.1.0.38:7380");
     assert_eq!(settings.bounds.grace, Duration::from_secs(8));
@@ -45,12 +45,12 @@
 }
 
 #[test]
-fn every_wrong_setting_is_named_at_once() {
+fn all_invalid_settings_are_reported_together() {
     let broken = SETTINGS
         .replace("grace_s = 8", "grace_s = -8")
         .replace("budget_ratio = 0.2", "budget_ratio = \"much\"")
         .replace("front = \"10.1.0.38:8149\"", "front = \"nowhere\"");
-    let report = parse_settings(&broken).expect_err("they are broken");
+    let report = parse_settings(&broken).expect_err("the settings are invalid");
     let text = format!("{report:?}");
     for field in ["bounds.grace_s", "bounds.budget_ratio", "listen.front"] {
         assert!(text.contains(field), "{field} in {text}");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_configuration_is_read_with_shares_and_engines() {
+fn a_configuration_is_read_with_traffic_split_and_engines() {
     let text = r#"{"version": 7, "routes": [
         {"name": "r", "hostname": "h", "path_prefix": "/p/", "kind": "streaming",
          "timeout_ms": 12000, "target_latency_ms": 250, "priority": 1, "resumable": true,
@@ -70,17 +70,20 @@
             "adapter_mb": 66.0, "warm_s": 0.63, "disk_s": 0.84}]}}],
       "limits": {"max_header_bytes": 16384, "max_body_bytes": 4194304,
          "header_timeout_ms": 3000, "idle_timeout_ms": 15000}}"#;
-    let configuration = configuration::decode(text.as_bytes()).expect("it is valid");
-    let route = configuration.route("h", "/p/x").expect("it is there");
+    let configuration = configuration::decode(text.as_bytes()).expect("the configuration is valid");
+    let route = configuration.route("h", "/p/x").expect("the route exists");
     assert_eq!(route.kind, RouteKind::Streaming);
     assert!(route.is_retryable());
     assert_eq!(route.targets.len(), 2);
-    let (_, engine) = configuration.engines().next().expect("one has models");
+    let (_, engine) = configuration
+        .engines()
+        .next()
+        .expect("one service has an engine");
     assert_eq!(engine.model("m").map(|it| it.disk_load_ms), Some(840));
 }
 
 #[test]
-fn a_request_is_read_and_what_is_the_systems_to_set_is_taken_away() {
+fn a_request_is_read_and_reserved_headers_are_replaced_or_removed() {
     let (head, ()) = Request::post("/p/x?q=1")
         .header("Host", "H.example:8080")
         .header("X-Attempt-Id", "9c41")
@@ -96,11 +99,15 @@
         .body(())
         .expect("the parts are valid")
         .into_parts();
-    let ask = PlatformProtocol::read_caller_request(&head).expect("it is well formed");
-    assert_eq!(ask.host, "h.example");
-    assert_eq!(ask.patience, Some(Duration::from_millis(1_500)));
-    assert_eq!(ask.last_event, Some(12));
-    let generation = ask.generation.as_ref().expect("it names a model");
+    let caller_request =
+        PlatformProtocol::read_caller_request(&head).expect("the request is well formed");
+    assert_eq!(caller_request.host, "h.example");
+    assert_eq!(caller_request.patience, Some(Duration::from_millis(1_500)));
+    assert_eq!(caller_request.last_event, Some(12));
+    let generation = caller_request
+        .generation
+        .as_ref()
+        .expect("the request names a model");
     assert_eq!(generation.model, "m");
     assert_eq!(generation.adapter.as_deref(), Some("a3"));
     assert_eq!(
@@ -115,7 +122,7 @@
         last_event: Some(20),
         weights_version: Some(4),
     };
-    let sent = PlatformProtocol::to_server(&ask, &options);
+    let sent = PlatformProtocol::to_server(&caller_request, &options);
     let header = |name: &str| sent.headers().get(name).map(|value| value.to_str().ok());
     assert_eq!(sent.uri().to_string(), "/p/x?q=1");
     assert_eq!(header("x-attempt-id"), Some(Some("9c41")));
@@ -123,8 +130,8 @@
     assert_eq!(header("x-expect-instance"), Some(Some("i-1")));
     assert_eq!(header("last-event-id"), Some(Some("20")));
     assert_eq!(header("x-kept"), Some(Some("1")));
-    for gone in ["x-hold", "x-hop", "connection"] {
-        assert_eq!(header(gone), None, "{gone}");
+    for removed in ["x-hold", "x-hop", "connection"] {
+        assert_eq!(header(removed), None, "{removed}");
     }
 }
 
@@ -152,15 +159,16 @@
 }
 
 #[test]
-fn an_entry_tells_the_run_of_its_server() {
-    let read = entries::decode("i".into(), entry().to_string().as_bytes()).expect("it is whole");
+fn an_entry_has_the_start_time_and_sequence_of_its_server() {
+    let read =
+        entries::decode("i".into(), entry().to_string().as_bytes()).expect("the entry is valid");
     assert_eq!(read.started_ms, 1_700_000_000_000);
     assert_eq!(read.sequence, 4);
     assert_eq!(read.holdings[0].adapters, ["a1"]);
 }
 
 #[test]
-fn an_entry_that_another_writer_left_names_no_server() {
+fn an_entry_with_missing_or_invalid_fields_is_refused() {
     let fields = [
         "service",
         "address",
@@ -171,9 +179,9 @@
         "cold_remaining_ms",
     ];
     for field in fields.into_iter().chain(["sequence"]) {
-        let mut lacks = entry();
-        lacks.as_object_mut().expect("an object").remove(field);
-        assert!(!is_read(&lacks), "without {field}");
+        let mut incomplete = entry();
+        incomplete.as_object_mut().expect("an object").remove(field);
+        assert!(!is_read(&incomplete), "without {field}");
         for other in [json!(null), json!([1]), json!({"a": 1}), json!(true)] {
             let mut wrong = entry();
             wrong[field] = other;
@@ -213,9 +221,9 @@
 }
 
 #[test]
-fn a_report_tells_the_run_of_its_server() {
+fn a_report_has_the_start_time_of_its_runner() {
     let report = br#"{"models": [], "busy": false, "sequence": 2, "born": 1700000000000}"#;
-    let report = orders::decode_report(report).expect("it is whole");
+    let report = orders::decode_report(report).expect("the report is valid");
     assert_eq!(report.started_ms, 1_700_000_000_000);
     let wrong = br#"{"models": [], "sequence": 2, "born": "then"}"#;
     assert!(orders::decode_report(wrong).is_err());
@@ -223,39 +231,48 @@
 
 proptest! {
     #[test]
-    fn whatever_bytes_come_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = entries::decode("i".into(), &bytes);
         let _ = configuration::decode(&bytes);
         let _ = orders::decode_report(&bytes);
     }
 
     #[test]
-    fn an_entry_with_bytes_changed_is_read_or_refused(place in 0_usize..300, byte in any::<u8>()) {
+    fn entry_with_changed_byte_is_decoded_or_refused(index in 0_usize..300, byte in any::<u8>()) {
         let mut bytes = entry().to_string().into_bytes();
-        let place = place % bytes.len();
-        bytes[place] = byte;
+        let index = index % bytes.len();
+        bytes[index] = byte;
         let _ = entries::decode("i".into(), &bytes);
     }
 }
 
 #[test]
-fn where_servers_tell_their_start_an_entry_without_it_names_none() {
+fn an_entry_without_start_time_is_removed_once_servers_report_theirs() {
     let record = |entry: &Value| KeyedRecord {
         key: "i".into(),
         value: entry.to_string().into(),
     };
-    let mut untold = entry();
-    untold.as_object_mut().expect("an object").remove("born");
-    let read = |entries: &[Value], tells: &Cell<bool>| {
+    let mut without_start = entry();
+    without_start
+        .as_object_mut()
+        .expect("an object")
+        .remove("born");
+    let read = |entries: &[Value], servers_report_start: &Cell<bool>| {
         let items = entries.iter().map(record).collect();
-        let changes = server_changes(Changes { items, next: 1 }, tells).items;
-        let is_here = |change: &ServerChange| matches!(change, ServerChange::Upserted(_));
-        changes.iter().map(is_here).collect::<Vec<bool>>()
+        let changes = server_changes(Changes { items, next: 1 }, servers_report_start).items;
+        let is_upserted = |change: &ServerChange| matches!(change, ServerChange::Upserted(_));
+        changes.iter().map(is_upserted).collect::<Vec<bool>>()
     };
-    let tells = Cell::new(false);
-    assert_eq!(read(&[untold.clone()], &tells), [true]);
-    assert_eq!(read(&[untold.clone(), entry()], &tells), [false, true]);
-    assert_eq!(read(&[untold], &tells), [false]);
+    let servers_report_start = Cell::new(false);
+    assert_eq!(
+        read(&[without_start.clone()], &servers_report_start),
+        [true]
+    );
+    assert_eq!(
+        read(&[without_start.clone(), entry()], &servers_report_start),
+        [false, true]
+    );
+    assert_eq!(read(&[without_start], &servers_report_start), [false]);
 }
 
 fn with_organisations(organisations: &Value) -> Vec<u8> {
@@ -275,27 +292,27 @@
         {"name": "south", "api_keys": ["b"], "rate_per_s": 3, "burst": 4},
         {"name": "east", "api_keys": []},
     ]));
-    let configuration = configuration::decode(&text).expect("it is well formed");
+    let configuration = configuration::decode(&text).expect("the configuration is valid");
     let register = configuration
         .organisations
         .expect("there are organisations");
-    let holder = |key: &[u8]| register.holder(&ApiKey::new(key)).cloned();
-    let north = holder(b"a").expect("north holds it");
+    let owner_of = |key: &[u8]| register.holder(&ApiKey::new(key)).cloned();
+    let north = owner_of(b"a").expect("the key belongs to north");
     assert_eq!(north.priority, Some(2));
-    let quota = north.quota.expect("it has one");
+    let quota = north.quota.expect("north has a quota");
     assert_eq!((quota.rate_per_s, quota.burst), (1_900.0, 950.5));
     assert_eq!(
         (quota.amount(None), quota.amount(Some(980.0))),
         (200.0, 980.0)
     );
-    let south = holder(b"b").expect("south holds it");
+    let south = owner_of(b"b").expect("the key belongs to south");
     assert_eq!(south.priority, None);
-    let quota = south.quota.expect("it has one");
+    let quota = south.quota.expect("south has a quota");
     assert_eq!(quota.amount(Some(980.0)), 1.0);
 }
 
 #[test]
-fn a_key_that_is_no_text_is_refused_and_not_told() {
+fn a_key_that_is_not_a_string_is_refused_and_not_shown_in_the_error() {
     let text = with_organisations(&json!([{"name": "north", "api_keys": [90210]}]));
     let error = configuration::decode(&text).expect_err("the key is a number");
     let error = error.to_string();
@@ -303,8 +320,8 @@
 }
 
 #[test]
-fn a_configuration_without_organisations_asks_for_no_key() {
+fn a_configuration_without_organisations_requires_no_key() {
     let text = with_organisations(&Value::Null);
-    let configuration = configuration::decode(&text).expect("it is well formed");
+    let configuration = configuration::decode(&text).expect("the configuration is valid");
     assert!(configuration.organisations.is_none());
 }
