--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -208,7 +208,7 @@
     type Command = KeyCommand;
     type Verdict = KeyVerdict;
     // A key's record is kept for longer than the key may be used.
-    const OUTLIVES_RETENTION: bool = false;
+    const REQUIRES_SNAPSHOT: bool = false;
 
     fn apply(&mut self, position: Position, _writer: &Name, command: KeyCommand) -> KeyVerdict {
         self.sweep(position.at_ms);
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -121,7 +121,7 @@
         let follow = async {
             loop {
                 self.pauses.woken().await;
-                control.nudge();
+                control.reconnect();
             }
         };
         select(pin!(self.pauses.run()), pin!(follow)).await;
@@ -203,7 +203,7 @@
         if live * 2 < listed {
             warnings.push(format!("only {live} of {listed} listed peers are heard"));
         }
-        if !control.is_known() {
+        if !control.has_usable_state() {
             warnings.push("the configuration is not known".to_owned());
         }
         warnings
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration in the platform's format.
 
-use crate::callers::{ApiKey, Measure, Organisation, Quota, Register};
+use crate::callers::{ApiKey, ApiKeyIndex, Measure, Organisation, Quota};
 use crate::gateway::{Configuration, Engine, Limits, Model, Route, RouteKind, Service, Target};
 use crate::inventory::Name;
 use serde::de::Error;
@@ -154,7 +154,7 @@
     let Some(organisations) = wire.tenants else {
         return Ok(configuration);
     };
-    let register = Register::new(organisations.into_iter().map(organisation).collect());
+    let register = ApiKeyIndex::new(organisations.into_iter().map(organisation).collect());
     for shared in register.shared_keys() {
         error!(
             version = wire.version,
@@ -168,7 +168,7 @@
 fn organisation(wire: WireOrganisation) -> (Organisation, Vec<ApiKey>) {
     let measure = match wire.unit.as_str() {
         TOKEN_UNIT => Measure::Tokens {
-            untold: wire.plain_tokens,
+            default_tokens: wire.plain_tokens,
         },
         _ => Measure::Requests,
     };
--- a/src/server.rs
+++ b/src/server.rs
@@ -21,7 +21,7 @@
 use crate::router::Router;
 use crate::service_registry::{Kernel, Service};
 use crate::shutdown::Shutdown;
-use crate::snapshot_writer::Keeper;
+use crate::snapshot_writer::SnapshotWriter;
 use crate::stream::{FoldedState, Stream};
 use crate::wire::{Heartbeat, ModelDemand};
 use compio::net::TcpListener;
@@ -106,7 +106,7 @@
     }
 
     fn state(&self, after_offset: u64) -> Option<FoldedState> {
-        let known = self.control.is_known() && self.control.next_offset() > after_offset;
+        let known = self.control.has_usable_state() && self.control.next_offset() > after_offset;
         known.then(|| self.control.state())
     }
 
@@ -139,10 +139,10 @@
     start_peers(&kernel, &config, boot, peers);
     start_fleet(&kernel);
     start_pace(&kernel, config.key_appends_per_s);
-    let keeper = Keeper::new(&kernel, config.log_retention_ms);
+    let keeper = SnapshotWriter::new(&kernel, config.log_retention_ms);
     compio::runtime::spawn(keeper.run()).detach();
     compio::runtime::spawn(kernel.find::<Planner>().run()).detach();
-    compio::runtime::spawn(kernel.find::<Router>().keep_room()).detach();
+    compio::runtime::spawn(kernel.find::<Router>().run_batch_yields()).detach();
 
     let shutdown: Rc<Shutdown> = kernel.find();
     let operator_shutdown = Rc::new(Shutdown::default());
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -172,7 +172,7 @@
     }
 
     /// Whether the state may be used: folded to the log's end once, or given by a peer.
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn has_usable_state(&self) -> bool {
         self.ready.get() || self.given.get()
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Reads anew at once, over a new connection.
-    pub(crate) fn nudge(&self) {
+    pub(crate) fn reconnect(&self) {
         self.nudged.notify();
     }
 
@@ -205,7 +205,7 @@
         self.behind_since.set(Some(since));
         if since.elapsed() >= BEHIND_LIMIT {
             self.behind_since.set(None);
-            self.nudge();
+            self.reconnect();
         }
     }
 
@@ -496,7 +496,7 @@
             if compio::time::timeout(BEHIND_LIMIT, wait).await.is_ok() {
                 return;
             }
-            self.nudge();
+            self.reconnect();
         }
         if let Some(open) = self.open.take() {
             open.fail(ProposeError::VerdictLost);
@@ -561,7 +561,7 @@
     /// Folds a page; false if it leaves the reader behind records that are dropped.
     async fn take_page(&self, page: Page) -> bool {
         if page.first > self.next_offset() {
-            if F::OUTLIVES_RETENTION {
+            if F::REQUIRES_SNAPSHOT {
                 // What this VM knows may be outdated by any of the dropped records.
                 self.ready.set(false);
                 self.given.set(false);
