--- a/src/recent_decisions.rs
+++ b/src/recent_decisions.rs
@@ -1,4 +1,4 @@
-//! The recent decisions of this VM, kept for operators who ask why.
+//! The recent decisions of this VM, which operators query to find the reasons for its behaviour.
 
 use crate::events::{Event, EventRow};
 use std::cell::RefCell;
@@ -6,19 +6,19 @@
 use std::fmt;
 use std::time::SystemTime;
 
-/// Decisions kept at most.
+/// The maximum number of decisions kept; the oldest is dropped first.
 const CAPACITY: usize = 4_096;
-/// Numbers of the events that are decisions on requests, placement and orders.
-const DECISIONS: std::ops::Range<u16> = 300..500;
+/// The numbers of the events that are decisions on requests, placement and orders.
+const DECISION_NUMBERS: std::ops::Range<u16> = 300..500;
 
 /// One decision, as it was logged.
 #[derive(Clone, Debug)]
 pub(crate) struct Decision {
-    /// When it was made, in milliseconds since the epoch.
+    /// The time of the decision, in milliseconds since the Unix epoch.
     pub(crate) at_ms: u64,
-    /// The event's row of the catalogue.
+    /// The event's row in the event catalogue.
     pub(crate) row: &'static EventRow,
-    /// The fields of the log line.
+    /// The fields of the log line, as `key=value` pairs separated by spaces.
     pub(crate) fields: String,
 }
 
@@ -26,10 +26,10 @@
     static RECENT: RefCell<VecDeque<Decision>> = const { RefCell::new(VecDeque::new()) };
 }
 
-/// Keeps a decision; other events are left out.
+/// Keeps the event if it is a decision; other events are ignored.
 pub(crate) fn keep(event: Event, fields: fmt::Arguments<'_>) {
     let row = event.row();
-    if !DECISIONS.contains(&row.number) {
+    if !DECISION_NUMBERS.contains(&row.number) {
         return;
     }
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
@@ -46,19 +46,20 @@
     });
 }
 
-/// The decisions about a request id, a model, an adapter, a runner or a group.
-pub(crate) fn about(what: &str) -> Vec<Decision> {
+/// Returns the kept decisions about a request id, a model, an adapter, a runner or a group.
+pub(crate) fn about(subject: &str) -> Vec<Decision> {
     RECENT.with_borrow(|recent| {
-        let about = recent.iter().filter(|decision| decision.is_about(what));
-        about.cloned().collect()
+        let matching = recent.iter().filter(|decision| decision.is_about(subject));
+        matching.cloned().collect()
     })
 }
 
 impl Decision {
-    fn is_about(&self, what: &str) -> bool {
+    /// Whether the value of a field is `subject`, or begins with it as in `model/adapter@version`.
+    fn is_about(&self, subject: &str) -> bool {
         let values = self.fields.split(' ').filter_map(|field| {
             let (_, value) = field.split_once('=')?;
-            value.strip_prefix(what)
+            value.strip_prefix(subject)
         });
         values
             .into_iter()
--- a/src/short_id.rs
+++ b/src/short_id.rs
@@ -1,9 +1,9 @@
-//! Short names of things in messages.
+//! Short identifiers for names in messages between VMs.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Names something in messages, four bytes whatever its name; among a few hundred names two share
-/// one once in a hundred thousand deployments.
+/// Returns a four-byte hash that identifies `name` in messages. Among a few hundred names, two
+/// collide in about one of 100,000 deployments.
 pub(crate) fn short_id(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
--- a/src/signal.rs
+++ b/src/signal.rs
@@ -1,31 +1,31 @@
-//! A signal that wakes every task waiting for it.
+//! A broadcast signal between the tasks of one thread.
 
 use futures_channel::oneshot;
 use std::cell::RefCell;
 
-/// Wakes all present waiters; a later waiter waits for the next signal.
+/// Wakes all tasks that wait when it is sent; a task that waits later gets the next signal.
 #[derive(Debug, Default)]
 pub(crate) struct Signal {
     waiters: RefCell<Vec<oneshot::Sender<()>>>,
 }
 
 impl Signal {
-    /// Wakes every task that waits now.
+    /// Wakes every task that is waiting.
     pub(crate) fn notify(&self) {
         for waiter in self.waiters.take() {
-            // A waiter that is gone needs no signal.
+            // Sending fails if the waiting task was cancelled.
             let _ = waiter.send(());
         }
     }
 
-    /// Waits for the next signal; registered as soon as this is called.
+    /// Waits for the next signal; the waiter is registered by the call, before the first poll.
     pub(crate) fn wait(&self) -> impl Future<Output = ()> + use<> {
         let (sender, receiver) = oneshot::channel();
         let mut waiters = self.waiters.borrow_mut();
         waiters.retain(|waiter| !waiter.is_canceled());
         waiters.push(sender);
         async move {
-            // The sender is dropped only together with the signal.
+            // Receiving fails only if the signal itself is dropped.
             let _ = receiver.await;
         }
     }
