--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP serving over `hyper` and `compio`, and the body type of all answers.
 
 use crate::shutdown::Shutdown;
-use crate::write_stall::{StallWatch, Watched};
+use crate::write_stall::{MonitoredStream, StallMonitor};
 use bytes::Bytes;
 use compio::net::{TcpListener, TcpSocket, TcpStream};
 use compio::runtime::JoinHandle;
@@ -285,7 +285,7 @@
             let leaving = leaving.clone();
             async move { Ok::<_, Infallible>(close_if_leaving(&leaving, answer.await)) }
         });
-        let (stream, watch) = Watched::new(HyperStream::new_plain(stream));
+        let (stream, watch) = MonitoredStream::new(HyperStream::new_plain(stream));
         let connection = http1::Builder::new()
             .timer(CompioTimer)
             .header_read_timeout(head_timeout)
@@ -320,7 +320,7 @@
     response
 }
 
-async fn stalled(watch: StallWatch) {
+async fn stalled(watch: StallMonitor) {
     while watch.stalled_for() < WRITE_STALL {
         compio::time::sleep(STALL_LOOK).await;
     }
--- a/src/write_stall.rs
+++ b/src/write_stall.rs
@@ -1,4 +1,4 @@
-//! A stream that tells for how long its writes have been stalled.
+//! A stream wrapper that measures for how long writes have been stalled.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use std::cell::Cell;
@@ -8,37 +8,38 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// A stream whose stalled writes are noted.
+/// A stream that records since when its writes have been pending.
 #[derive(Debug)]
-pub(crate) struct Watched<S> {
+pub(crate) struct MonitoredStream<S> {
     stream: S,
     pending_since: Rc<Cell<Option<Instant>>>,
 }
 
-/// Tells for how long a watched stream has been stalled.
+/// Reports for how long the writes of a [`MonitoredStream`] have been stalled.
 #[derive(Debug)]
-pub(crate) struct StallWatch(Rc<Cell<Option<Instant>>>);
+pub(crate) struct StallMonitor(Rc<Cell<Option<Instant>>>);
 
-impl StallWatch {
-    /// How long the stream has taken nothing of what is to be written.
+impl StallMonitor {
+    /// How long the pending write has made no progress; zero if no write is pending.
     pub(crate) fn stalled_for(&self) -> Duration {
         self.0.get().map_or(Duration::ZERO, |since| since.elapsed())
     }
 }
 
-impl<S> Watched<S> {
-    /// Watches a stream.
-    pub(crate) fn new(stream: S) -> (Self, StallWatch) {
+impl<S> MonitoredStream<S> {
+    /// Wraps a stream; the monitor reports its stalls.
+    pub(crate) fn new(stream: S) -> (Self, StallMonitor) {
         let pending_since = Rc::new(Cell::new(None));
-        let watch = StallWatch(pending_since.clone());
-        let watched = Self {
+        let monitor = StallMonitor(pending_since.clone());
+        let monitored = Self {
             stream,
             pending_since,
         };
-        (watched, watch)
+        (monitored, monitor)
     }
 
-    fn note<T>(&self, poll: Poll<T>) -> Poll<T> {
+    /// Records whether the write whose result is `poll` is pending, and returns `poll`.
+    fn record_poll<T>(&self, poll: Poll<T>) -> Poll<T> {
         if poll.is_ready() {
             self.pending_since.set(None);
         } else if self.pending_since.get().is_none() {
@@ -48,7 +49,7 @@
     }
 }
 
-impl<S: Read + Unpin> Read for Watched<S> {
+impl<S: Read + Unpin> Read for MonitoredStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -58,23 +59,23 @@
     }
 }
 
-impl<S: Unpin + Write> Write for Watched<S> {
+impl<S: Unpin + Write> Write for MonitoredStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.note(poll)
+        self.record_poll(poll)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let poll = Pin::new(&mut self.stream).poll_flush(cx);
-        self.note(poll)
+        self.record_poll(poll)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let poll = Pin::new(&mut self.stream).poll_shutdown(cx);
-        self.note(poll)
+        self.record_poll(poll)
     }
 }
