--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -1,4 +1,4 @@
-//! The stream of idempotency keys: each key is claimed once, by the log's order.
+//! The stream of idempotency keys: the first claim of a key in the log wins.
 
 use crate::inventory::Name;
 use crate::replica::{Fold, Position};
@@ -7,26 +7,25 @@
 use std::num::NonZeroU64;
 use std::rc::Rc;
 
-/// How long after its making a key may be used at most, by the log's clock.
+/// The maximum age at which a key may be claimed, by the log's clock.
 const MAX_AGE_MS: u64 = 600_000;
-/// How far in the future a key's time may lie at most.
+/// How far a key's creation time may lie ahead of the log's clock at most.
 const MAX_SKEW_MS: u64 = 60_000;
-/// The part of the log's retention that a key's age may take up.
+/// The log's retention divided by the maximum age of a key.
 const RETENTION_PER_AGE: u64 = 2;
-/// The part of the log's retention that a key's skew may take up.
+/// The log's retention divided by the maximum clock skew of a key.
 const RETENTION_PER_SKEW: u64 = 8;
 
-/// Bytes of late answers kept at hand; older ones are read from the log again.
-const RECENT_BYTES: usize = 2 * 1024 * 1024;
-/// What one kept answer takes beside its text.
-const RECENT_OVERHEAD_BYTES: usize = 128;
+/// The maximum size of the replies kept in memory; older ones are read from the log again.
+const MAX_RECENT_BYTES: usize = 2 * 1024 * 1024;
+/// The memory that a kept reply takes in addition to its body.
+const REPLY_OVERHEAD_BYTES: usize = 128;
 
-/// How far a key's time may lie from the log's, for its claim to be valid.
+/// The range around the log's time in which a key's creation time must lie for a claim to be valid.
 ///
-/// Each claim carries the window of its writer, so that the fold depends on the
-/// log alone. Two valid claims of one key are never further apart than age and
-/// skew together, which is less than the log's retention: a reader that has a
-/// later claim has the earlier one as well.
+/// Each claim carries the window of its writer, so that the fold depends on the log alone. Two
+/// valid claims of one key are at most the maximum age plus the maximum skew apart, which is less
+/// than the log's retention: a reader that has the later claim has the earlier one as well.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct KeyWindow {
     age_ms: u64,
@@ -34,7 +33,7 @@
 }
 
 impl KeyWindow {
-    /// The window that is safe with a log that keeps records for `retention_ms`.
+    /// Returns the window that is safe with a log that keeps records for `retention_ms`.
     pub(crate) fn for_retention(retention_ms: u64) -> Self {
         Self {
             age_ms: retention_ms / RETENTION_PER_AGE,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Whether a key made at `made_at_ms` may be claimed at `now_ms`.
+    /// Whether a key created at `made_at_ms` may be claimed at `now_ms`.
     fn admits(self, made_at_ms: u64, now_ms: u64) -> bool {
         let oldest_ms = now_ms.saturating_sub(self.age_ms.min(MAX_AGE_MS));
         let newest_ms = now_ms.saturating_add(self.skew_ms.min(MAX_SKEW_MS));
@@ -50,64 +49,66 @@
     }
 }
 
-/// The hash of a key within its service and caller.
+/// The hash of a key together with its service and caller.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub(crate) struct KeyHash(pub(crate) u64, pub(crate) u64);
 
-/// The recorded answer of a call that ran.
+/// The recorded reply to a call that was executed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Reply {
     /// The HTTP status.
     pub(crate) status: u16,
     /// The content type.
     pub(crate) content_type: Name,
-    /// The body, if it is text and small enough to be kept.
+    /// The body, if it is text and small enough to be recorded.
     pub(crate) body: Option<Name>,
 }
 
 impl Reply {
+    /// The memory that the reply takes when kept, in bytes.
     fn bytes(&self) -> usize {
-        RECENT_OVERHEAD_BYTES + self.body.as_ref().map_or(0, |body| body.len())
+        REPLY_OVERHEAD_BYTES + self.body.as_ref().map_or(0, |body| body.len())
     }
 }
 
-/// What a writer asks for.
+/// A command on an idempotency key.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum KeyCommand {
-    /// Takes the key, if nobody has.
+    /// Claims the key, if it is not claimed yet.
     Claim {
         key: KeyHash,
         digest: u64,
         made_at_ms: u64,
         window: KeyWindow,
     },
-    /// Keeps the answer of the call made under `claim`.
+    /// Records the reply to the call made under `claim`.
     Reply {
         key: KeyHash,
         claim: u64,
         reply: Rc<Reply>,
     },
-    /// Gives the key back: its call was not sent and never will be.
+    /// Releases the key: its call was not sent and never will be.
     Release { key: KeyHash, claim: u64 },
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum KeyVerdict {
-    /// The claim is the first: its writer may send, once.
+    /// The claim is the first: its writer may send the call, once.
     First,
-    /// Another claim holds the key, and its call has no answer yet.
-    Open,
-    /// The call ran; its answer is recorded at this fence.
+    /// Another claim holds the key, and its call has no recorded reply yet.
+    Pending,
+    /// The call was executed; its reply is recorded at this fence.
     Replied(NonZeroU64),
-    /// The key was used with another body.
+    /// The key was claimed with a different request digest.
     Mismatch,
-    /// The key's time is outside of the window.
+    /// The key's creation time is outside of the window.
     Expired,
-    /// A reply or a release was noted, or came too late to matter.
-    Noted,
+    /// A reply or a release was applied, or ignored because its claim no longer holds the key.
+    Processed,
 }
 
+/// The state of a claimed key.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct KeyState {
     digest: u64,
@@ -116,21 +117,23 @@
     reply: Option<NonZeroU64>,
 }
 
-/// The latest answers, up to a number of bytes.
+/// The latest replies, up to [`MAX_RECENT_BYTES`].
 #[derive(Debug, Default)]
 struct RecentReplies {
     replies: HashMap<NonZeroU64, Rc<Reply>>,
-    order: VecDeque<NonZeroU64>,
+    /// The fences of `replies`, the oldest first.
+    fences: VecDeque<NonZeroU64>,
     bytes: usize,
 }
 
 impl RecentReplies {
-    fn put(&mut self, fence: NonZeroU64, reply: Rc<Reply>) {
+    /// Adds a reply, and drops the oldest ones beyond the limit.
+    fn add(&mut self, fence: NonZeroU64, reply: Rc<Reply>) {
         self.bytes += reply.bytes();
-        self.order.push_back(fence);
+        self.fences.push_back(fence);
         self.replies.insert(fence, reply);
-        while self.bytes > RECENT_BYTES
-            && let Some(oldest) = self.order.pop_front()
+        while self.bytes > MAX_RECENT_BYTES
+            && let Some(oldest) = self.fences.pop_front()
         {
             let dropped = self.replies.remove(&oldest);
             self.bytes -= dropped.map_or(0, |reply| reply.bytes());
@@ -138,9 +141,9 @@
     }
 }
 
-/// The folded state: every key that may still be used.
+/// The folded state: every claimed key that may still be used.
 #[derive(Debug, Default, Deserialize, Serialize)]
-pub(crate) struct Keys {
+pub(crate) struct IdempotencyKeys {
     #[serde(skip)]
     states: HashMap<KeyHash, KeyState>,
     #[serde(skip)]
@@ -149,19 +152,19 @@
     swept_at_ms: u64,
 }
 
-impl Keys {
-    /// What a claim of this key would find now.
-    pub(crate) fn look(&self, key: KeyHash, digest: u64) -> Option<KeyVerdict> {
+impl IdempotencyKeys {
+    /// Returns the outcome that a claim of this key would have; `None` if the key is not claimed.
+    pub(crate) fn lookup(&self, key: KeyHash, digest: u64) -> Option<KeyVerdict> {
         let state = self.states.get(&key)?;
         Some(state.verdict(digest))
     }
 
-    /// The number of keys held.
+    /// The number of claimed keys.
     pub(crate) fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// The answer recorded at a fence, if it is still at hand.
+    /// Returns the reply recorded at a fence, if it is still in memory.
     pub(crate) fn recent_reply(&self, fence: NonZeroU64) -> Option<Rc<Reply>> {
         self.recent.replies.get(&fence).cloned()
     }
@@ -182,15 +185,15 @@
         KeyVerdict::First
     }
 
-    /// Drops keys too old to be claimed again, now and then.
+    /// Drops keys too old to be claimed again; does nothing if the last sweep was recent.
     fn sweep(&mut self, now_ms: u64) {
-        let kept_ms = MAX_AGE_MS + MAX_SKEW_MS;
-        if now_ms < self.swept_at_ms + kept_ms / 16 {
+        let retained_ms = MAX_AGE_MS + MAX_SKEW_MS;
+        if now_ms < self.swept_at_ms + retained_ms / 16 {
             return;
         }
         self.swept_at_ms = now_ms;
         self.states
-            .retain(|_, state| state.at_ms + kept_ms >= now_ms);
+            .retain(|_, state| state.at_ms + retained_ms >= now_ms);
     }
 }
 
@@ -199,15 +202,15 @@
         match self.reply {
             _ if self.digest != digest => KeyVerdict::Mismatch,
             Some(fence) => KeyVerdict::Replied(fence),
-            None => KeyVerdict::Open,
+            None => KeyVerdict::Pending,
         }
     }
 }
 
-impl Fold for Keys {
+impl Fold for IdempotencyKeys {
     type Command = KeyCommand;
     type Verdict = KeyVerdict;
-    // A key's record is kept for longer than the key may be used.
+    // The log retains a key's records for longer than the key may be used.
     const OUTLIVES_RETENTION: bool = false;
 
     fn apply(&mut self, position: Position, _writer: &Name, command: KeyCommand) -> KeyVerdict {
@@ -231,16 +234,16 @@
                     && let Some(fence) = NonZeroU64::new(position.fence)
                 {
                     state.reply = Some(fence);
-                    self.recent.put(fence, reply);
+                    self.recent.add(fence, reply);
                 }
-                KeyVerdict::Noted
+                KeyVerdict::Processed
             }
             KeyCommand::Release { key, claim } => {
                 let state = self.states.get(&key);
                 if state.is_some_and(|state| state.claim == claim) {
                     self.states.remove(&key);
                 }
-                KeyVerdict::Noted
+                KeyVerdict::Processed
             }
         }
     }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,10 +1,10 @@
-//! Which VMs live: the platform's list, and heartbeats that tell sooner.
+//! VM membership: the platform's VM list, and heartbeats that detect failures sooner.
 
 use crate::events::{Event, emit};
 use crate::external::{ListedVm, VmList};
 use crate::fleet::Load;
 use crate::inventory::Name;
-use crate::pause_detector::PauseWatch;
+use crate::pause_detector::PauseDetector;
 use crate::server::ControlStream;
 use crate::service_registry::Service;
 use crate::wire::{Heartbeat, ModelDemand};
@@ -17,35 +17,35 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often the list is fetched.
+/// The interval at which the VM list is fetched.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
-/// A peer not heard for this long is taken for dead.
+/// A peer whose last heartbeat is older than this is considered dead.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Views of the VM list this much older than the freshest one do not count.
-const VIEW_SLACK: Duration = Duration::from_millis(2_000);
-/// How long requests wait after a pause until this VM knows the present state.
-const REFRESH_LIMIT: Duration = Duration::from_millis(2_500);
-/// How often a waiting request looks.
+/// Views of the VM list that are older than the freshest one by more than this are ignored.
+const VIEW_MAX_LAG: Duration = Duration::from_millis(2_000);
+/// How long requests wait after a pause of the process for this VM's state to be refreshed.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The interval at which a waiting request checks for refreshed state.
 const REFRESH_POLL: Duration = Duration::from_millis(5);
-/// A view older than this is worth a warning.
-const VIEW_WARNING: Duration = Duration::from_millis(5_000);
+/// The age from which a view of the log or of the VM list is reported as a warning.
+const VIEW_WARNING_AGE: Duration = Duration::from_millis(5_000);
 
-/// A peer as this VM sees it.
+/// The state of a peer as seen by this VM.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// Where it takes heartbeats.
+    /// The address at which the peer accepts heartbeats.
     pub(crate) address: SocketAddr,
-    /// What it last said, and when.
-    pub(crate) heard: Option<(Instant, Heartbeat)>,
-    /// When the last question that it answered was sent.
-    asked_at: Option<Instant>,
-    /// Whether the list marks it as leaving.
+    /// The time of receipt and the content of the peer's last heartbeat.
+    pub(crate) last_heard: Option<(Instant, Heartbeat)>,
+    /// The time at which this VM sent the last heartbeat that the peer answered.
+    request_sent_at: Option<Instant>,
+    /// Whether the VM list marks the peer as leaving.
     pub(crate) listed_leaving: bool,
 }
 
 impl Peer {
     fn is_alive(&self) -> bool {
-        self.heard
+        self.last_heard
             .as_ref()
             .is_some_and(|(at, heartbeat)| at.elapsed() < PEER_TIMEOUT && !heartbeat.leaving)
     }
@@ -53,31 +53,31 @@
     fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            heard: None,
-            asked_at: None,
+            last_heard: None,
+            request_sent_at: None,
             listed_leaving: false,
         }
     }
 
-    /// The peer's view of the VM list: its age now, and the servers it marks as leaving.
-    fn view(&self) -> Option<(Duration, &[String])> {
-        let (at, heartbeat) = self.heard.as_ref()?;
+    /// The peer's view of the VM list: its present age, and the backend servers marked as leaving.
+    fn list_view(&self) -> Option<(Duration, &[String])> {
+        let (at, heartbeat) = self.last_heard.as_ref()?;
         let age = Duration::from_millis(heartbeat.list_age_ms?) + at.elapsed();
         (at.elapsed() < PEER_TIMEOUT).then_some((age, heartbeat.leaving_servers.as_slice()))
     }
 }
 
-/// The VMs known to this one.
+/// The peers known to this VM, with their health and load.
 #[derive(Debug)]
 pub(crate) struct Membership {
     own: Name,
     peers: RefCell<BTreeMap<Name, Peer>>,
-    listed_leaving: RefCell<HashSet<Name>>,
+    listed_leaving_servers: RefCell<HashSet<Name>>,
     leaving_servers: RefCell<HashSet<Name>>,
     listed_at: Cell<Option<Instant>>,
     list_checked_at: Cell<Option<Instant>>,
     started_at: Instant,
-    pauses: PauseWatch,
+    pauses: PauseDetector,
 }
 
 impl Service for Membership {
@@ -85,66 +85,69 @@
 }
 
 impl Membership {
-    /// A view that knows only this VM.
+    /// Creates a membership without peers for the VM `own`.
     pub(crate) fn new(own: Name) -> Self {
         Self {
             own,
             peers: RefCell::default(),
-            listed_leaving: RefCell::default(),
+            listed_leaving_servers: RefCell::default(),
             leaving_servers: RefCell::default(),
             listed_at: Cell::new(None),
             list_checked_at: Cell::new(None),
             started_at: Instant::now(),
-            pauses: PauseWatch::default(),
+            pauses: PauseDetector::default(),
         }
     }
 
-    /// Follows the VM list until the process ends; calls `found` for each new peer.
-    pub(crate) async fn follow<V: VmList>(self: Rc<Self>, list: V, found: impl Fn(Name)) {
+    /// Fetches the VM list at intervals until the process ends; calls `on_new_peer` for each peer
+    /// that was not known before.
+    pub(crate) async fn poll_list<V: VmList>(self: Rc<Self>, list: V, on_new_peer: impl Fn(Name)) {
         loop {
-            let woken = self.pauses.woken();
-            // An answer shows the list as it was asked for, or later.
-            let begun = Instant::now();
+            let resumed = self.pauses.resumed();
+            // The fetched list is at least as recent as the start of the fetch.
+            let fetch_started_at = Instant::now();
             if let Some(vms) = list.fetch().await {
-                self.listed_at.set(Some(begun));
-                for name in self.take_list(vms) {
-                    found(name);
+                self.listed_at.set(Some(fetch_started_at));
+                for name in self.apply_list(vms) {
+                    on_new_peer(name);
                 }
             }
-            self.list_checked_at.set(Some(begun));
-            select(pin!(compio::time::sleep(LIST_INTERVAL)), pin!(woken)).await;
+            self.list_checked_at.set(Some(fetch_started_at));
+            select(pin!(compio::time::sleep(LIST_INTERVAL)), pin!(resumed)).await;
         }
     }
 
-    /// Watches for pauses of this process; `control` is read anew after each.
+    /// Detects pauses of this process; after each, reconnects `control` to the log.
     pub(crate) async fn watch_pauses(self: Rc<Self>, control: Rc<ControlStream>) {
-        let follow = async {
+        let reconnect = async {
             loop {
-                self.pauses.woken().await;
+                self.pauses.resumed().await;
                 control.nudge();
             }
         };
-        select(pin!(self.pauses.run()), pin!(follow)).await;
+        select(pin!(self.pauses.run()), pin!(reconnect)).await;
     }
 
-    /// Waits until what this VM knows is newer than its last pause; false if it cannot be.
+    /// Waits until this VM's state is newer than the last pause of its process.
     ///
-    /// Without a pause this is no wait. Where the platform does not answer, the
-    /// peers are asked; where nobody does, what is known has to do.
+    /// Returns at once if there was no pause. If the log or the VM list does not answer, answers
+    /// of peers show whether the state is current. After the timeout, returns whether both the log
+    /// and the VM list have at least been tried since the pause.
     pub(crate) async fn refreshed(&self, control: &ControlStream) -> bool {
-        while let Some(woke_at) = self.pauses.woke_at() {
-            if self.knows_since(woke_at, control) {
+        while let Some(resumed_at) = self.pauses.resumed_at() {
+            if self.is_current_since(resumed_at, control) {
                 return true;
             }
-            if woke_at.elapsed() >= REFRESH_LIMIT {
-                return self.has_checked_since(woke_at, control);
+            if resumed_at.elapsed() >= REFRESH_TIMEOUT {
+                return self.has_checked_since(resumed_at, control);
             }
             compio::time::sleep(REFRESH_POLL).await;
         }
         true
     }
 
-    /// Whether work chosen for a backend server at `chosen_at` may still be sent there.
+    /// Whether a request routed to a backend server at `chosen_at` may still be sent there: the
+    /// process was not paused since, and the server is in the inventory and not leaving.
     pub(crate) fn may_send(
         &self,
         control: &ControlStream,
@@ -153,8 +156,8 @@
     ) -> bool {
         let paused_since = self
             .pauses
-            .woke_at()
-            .is_some_and(|woke_at| woke_at > chosen_at);
+            .resumed_at()
+            .is_some_and(|resumed_at| resumed_at > chosen_at);
         let stays = control.with(|control| {
             let server = control.inventory.backend_server(server);
             server.is_some_and(|server| !server.leaving)
@@ -162,64 +165,71 @@
         !paused_since && stays && !self.is_server_leaving(server)
     }
 
-    /// Whether nothing newer than what is known was there at `moment`.
-    fn knows_since(&self, moment: Instant, control: &ControlStream) -> bool {
-        let since = |at: Option<Instant>| at.is_some_and(|at| at >= moment);
-        if since(control.confirmed_at()) && since(self.listed_at.get()) {
+    /// Whether this VM's state includes every change made before `moment`.
+    ///
+    /// That holds if the log and the VM list have both answered since. Otherwise it is assumed if
+    /// both were tried since and peers that answered a heartbeat sent since have read no further
+    /// in the control stream than this VM.
+    fn is_current_since(&self, moment: Instant, control: &ControlStream) -> bool {
+        let is_since = |at: Option<Instant>| at.is_some_and(|at| at >= moment);
+        if is_since(control.confirmed_at()) && is_since(self.listed_at.get()) {
             return true;
         }
         let peers = self.peers.borrow();
-        let mut asked = peers
+        let mut answered = peers
             .values()
-            .filter(|peer| since(peer.asked_at))
+            .filter(|peer| is_since(peer.request_sent_at))
             .peekable();
-        let any_asked = asked.peek().is_some();
-        let behind = asked
-            .filter_map(|peer| peer.heard.as_ref())
+        let any_answered = answered.peek().is_some();
+        let behind = answered
+            .filter_map(|peer| peer.last_heard.as_ref())
             .any(|(_, heartbeat)| heartbeat.control_offset > control.next_offset());
-        any_asked && !behind && self.has_checked_since(moment, control)
+        any_answered && !behind && self.has_checked_since(moment, control)
     }
 
+    /// Whether both the log and the VM list have been read since `moment`, even without success.
     fn has_checked_since(&self, moment: Instant, control: &ControlStream) -> bool {
         [control.checked_at(), self.list_checked_at.get()]
             .into_iter()
             .all(|at| at.is_some_and(|at| at >= moment))
     }
 
-    /// What is wrong with this VM's view of the others, in plain sentences.
+    /// Describes, for operators, what is wrong with this VM's view of the log, the VM list and its
+    /// peers.
     pub(crate) fn warnings(&self, control: &ControlStream) -> Vec<String> {
         let mut warnings = Vec::new();
         let mut check = |what: &str, age: Option<Duration>| match age {
             None => warnings.push(format!("{what} has not answered since the start")),
-            Some(age) if age >= VIEW_WARNING => {
+            Some(age) if age >= VIEW_WARNING_AGE => {
                 warnings.push(format!("{what} has not answered for {} s", age.as_secs()))
             }
             Some(_) => {}
         };
         check("the log", control.silence());
         check("the VM list", self.list_age());
-        let listed = self.staying_peers();
-        let live = self.live_peers();
+        let listed = self.staying_peer_count();
+        let live = self.live_peer_count();
         if live * 2 < listed {
-            warnings.push(format!("only {live} of {listed} listed peers are heard"));
+            warnings.push(format!("only {live} of {listed} listed peers are alive"));
         }
         if !control.is_known() {
-            warnings.push("the configuration is not known".to_owned());
+            warnings.push("no usable configuration has been received yet".to_owned());
         }
         warnings
     }
 
-    fn staying_peers(&self) -> usize {
+    /// The number of peers that the VM list does not mark as leaving.
+    fn staying_peer_count(&self) -> usize {
         let peers = self.peers.borrow();
         peers.values().filter(|peer| !peer.listed_leaving).count()
     }
 
-    /// Takes over a list; returns the peers that are new.
-    fn take_list(&self, vms: Vec<ListedVm>) -> Vec<Name> {
+    /// Applies a fetched VM list; returns the peers that are new.
+    fn apply_list(&self, vms: Vec<ListedVm>) -> Vec<Name> {
         let mut peers = self.peers.borrow_mut();
         let mut leaving_servers = HashSet::new();
         let mut listed = HashSet::new();
-        let mut new = Vec::new();
+        let mut new_peers = Vec::new();
         for vm in vms {
             let Some(address) = vm.peer_address else {
                 if vm.leaving {
@@ -232,31 +242,36 @@
             }
             listed.insert(vm.name.clone());
             let peer = peers.entry(vm.name.clone()).or_insert_with(|| {
-                new.push(vm.name.clone());
+                new_peers.push(vm.name.clone());
                 Peer::new(address)
             });
             peer.address = address;
             peer.listed_leaving = vm.leaving;
         }
         peers.retain(|name, _| listed.contains(name));
-        *self.listed_leaving.borrow_mut() = leaving_servers;
+        *self.listed_leaving_servers.borrow_mut() = leaving_servers;
         drop(peers);
-        self.merge_marks();
-        new
+        self.merge_leaving_servers();
+        new_peers
     }
 
-    /// Notes a heartbeat of a peer; returns the peer if it is new.
+    /// Records a heartbeat of a peer; returns the peer's name if it is new.
     ///
-    /// `asked_at` says when the question was sent that the heartbeat answers.
-    /// A VM that never saw the list learns its peers from those that call it.
-    pub(crate) fn note(&self, mut heartbeat: Heartbeat, asked_at: Option<Instant>) -> Option<Name> {
+    /// `request_sent_at` is the time at which this VM sent the heartbeat that this one answers, if
+    /// it is an answer. A VM that has never fetched the VM list learns its peers from the
+    /// heartbeats that they send.
+    pub(crate) fn record_heartbeat(
+        &self,
+        mut heartbeat: Heartbeat,
+        request_sent_at: Option<Instant>,
+    ) -> Option<Name> {
         let mut peers = self.peers.borrow_mut();
-        let mut new = None;
+        let mut new_peer = None;
         if self.listed_at.get().is_none() && !peers.contains_key(heartbeat.vm.as_str()) {
             let name = Name::from(heartbeat.vm.as_str());
             let address = heartbeat.peer_address.parse().ok()?;
             peers.insert(name.clone(), Peer::new(address));
-            new = Some(name);
+            new_peer = Some(name);
         }
         let peer = peers.get_mut(heartbeat.vm.as_str())?;
         if !peer.is_alive() && !heartbeat.leaving {
@@ -265,76 +280,79 @@
                 format_args!("vm={} up=true", heartbeat.vm),
             );
         }
-        if let Some((_, before)) = &mut peer.heard
+        // Most heartbeats carry no demand: the one last received stays valid within a revision.
+        if let Some((_, before)) = &mut peer.last_heard
             && heartbeat.demands.is_empty()
             && heartbeat.revision == before.revision
         {
             heartbeat.demands = std::mem::take(&mut before.demands);
         }
-        peer.heard = Some((Instant::now(), heartbeat));
-        peer.asked_at = asked_at.or(peer.asked_at);
+        peer.last_heard = Some((Instant::now(), heartbeat));
+        peer.request_sent_at = request_sent_at.or(peer.request_sent_at);
         drop(peers);
-        self.merge_marks();
-        new
+        self.merge_leaving_servers();
+        new_peer
     }
 
-    /// Joins what this VM and its peers know of leaving servers, as far as it is fresh.
-    fn merge_marks(&self) {
+    /// Merges the leaving backend servers of all sufficiently fresh views of the VM list, this VM's
+    /// and its peers'.
+    fn merge_leaving_servers(&self) {
         let peers = self.peers.borrow();
-        let views: Vec<_> = peers.values().filter_map(Peer::view).collect();
+        let views: Vec<_> = peers.values().filter_map(Peer::list_view).collect();
         let own_age = self.list_age();
         let freshest = views.iter().map(|(age, _)| *age).chain(own_age).min();
-        let Some(oldest) = freshest.map(|age| age + VIEW_SLACK) else {
+        let Some(max_age) = freshest.map(|age| age + VIEW_MAX_LAG) else {
             return;
         };
-        let mut marks = HashSet::new();
-        if own_age.is_some_and(|age| age <= oldest) {
-            marks.extend(self.listed_leaving.borrow().iter().cloned());
+        let mut leaving_servers = HashSet::new();
+        if own_age.is_some_and(|age| age <= max_age) {
+            leaving_servers.extend(self.listed_leaving_servers.borrow().iter().cloned());
         }
-        for (_, servers) in views.iter().filter(|(age, _)| *age <= oldest) {
-            marks.extend(servers.iter().map(|server| Name::from(server.as_str())));
+        for (_, servers) in views.iter().filter(|(age, _)| *age <= max_age) {
+            leaving_servers.extend(servers.iter().map(|server| Name::from(server.as_str())));
         }
-        *self.leaving_servers.borrow_mut() = marks;
+        *self.leaving_servers.borrow_mut() = leaving_servers;
     }
 
-    /// The servers that this VM's own view of the list marks as leaving.
-    pub(crate) fn listed_leaving(&self) -> Vec<String> {
-        let servers = self.listed_leaving.borrow();
+    /// The backend servers that this VM's own view of the VM list marks as leaving.
+    pub(crate) fn listed_leaving_servers(&self) -> Vec<String> {
+        let servers = self.listed_leaving_servers.borrow();
         servers.iter().map(ToString::to_string).collect()
     }
 
-    /// The live peer that has read furthest, if beyond `offset`.
-    pub(crate) fn furthest_peer(&self, offset: u64) -> Option<SocketAddr> {
+    /// The address of the live peer that has read furthest in the control stream, if beyond
+    /// `offset`.
+    pub(crate) fn most_advanced_peer(&self, offset: u64) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         peers
             .values()
             .filter_map(|peer| {
-                let (at, heartbeat) = peer.heard.as_ref()?;
-                let fresh = at.elapsed() < PEER_TIMEOUT;
-                let ahead = heartbeat.revision > 0 && heartbeat.control_offset > offset;
-                (fresh && ahead).then_some((heartbeat.control_offset, peer.address))
+                let (at, heartbeat) = peer.last_heard.as_ref()?;
+                let is_fresh = at.elapsed() < PEER_TIMEOUT;
+                let is_ahead = heartbeat.revision > 0 && heartbeat.control_offset > offset;
+                (is_fresh && is_ahead).then_some((heartbeat.control_offset, peer.address))
             })
             .max()
             .map(|(_, address)| address)
     }
 
-    /// Where a peer takes heartbeats; `None` once it is not listed any more.
+    /// The address at which a peer accepts heartbeats; `None` once the peer is no longer listed.
     pub(crate) fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         self.peers.borrow().get(name).map(|peer| peer.address)
     }
 
-    /// The peers, as last heard.
+    /// All peers with their last heartbeats.
     pub(crate) fn peers(&self) -> BTreeMap<Name, Peer> {
         self.peers.borrow().clone()
     }
 
-    /// Whether a VM lives, as far as is known; this one does.
+    /// Whether a VM is alive by its last heartbeat; this VM always is.
     pub(crate) fn is_alive(&self, vm: &str) -> bool {
         vm == self.own || self.peers.borrow().get(vm).is_some_and(Peer::is_alive)
     }
 
-    /// The number of peers that live.
-    pub(crate) fn live_peers(&self) -> usize {
+    /// The number of live peers.
+    pub(crate) fn live_peer_count(&self) -> usize {
         self.peers
             .borrow()
             .values()
@@ -342,46 +360,50 @@
             .count()
     }
 
-    /// Whether this VM comes first among the live ones for a task, by rendezvous hashing.
-    pub(crate) fn is_first_for(&self, task: &str) -> bool {
+    /// Whether rendezvous hashing over the live VMs assigns `task` to this VM.
+    ///
+    /// False until the process has run for `PEER_TIMEOUT`: before, live peers may not have sent
+    /// a heartbeat yet.
+    pub(crate) fn is_assigned(&self, task: &str) -> bool {
         if self.started_at.elapsed() < PEER_TIMEOUT {
             return false;
         }
-        let own = rendezvous(&self.own, task);
+        let own_hash = rendezvous_hash(&self.own, task);
         let peers = self.peers.borrow();
         peers
             .iter()
             .filter(|(_, peer)| peer.is_alive())
-            .all(|(name, _)| rendezvous(name, task) < own)
+            .all(|(name, _)| rendezvous_hash(name, task) < own_hash)
     }
 
-    /// Whether a backend server is leaving, by the VM list as this VM or a peer knows it.
+    /// Whether a backend server is leaving, by the merged views of the VM list of this VM and its
+    /// peers.
     pub(crate) fn is_server_leaving(&self, server: &str) -> bool {
         self.leaving_servers.borrow().contains(server)
     }
 
-    /// How old the view of the VM list is; `None` if there never was one.
+    /// The age of this VM's view of the VM list; `None` if the list was never fetched.
     pub(crate) fn list_age(&self) -> Option<Duration> {
         self.listed_at.get().map(|at| at.elapsed())
     }
 
-    /// What the live peers at this revision last said of their demand.
+    /// The demand last reported by each live peer at this revision.
     pub(crate) fn peer_demands(&self, revision: u64) -> Vec<ModelDemand> {
         let peers = self.peers.borrow();
         peers
             .values()
             .filter(|peer| peer.is_alive())
-            .filter_map(|peer| peer.heard.as_ref())
+            .filter_map(|peer| peer.last_heard.as_ref())
             .filter(|(_, heartbeat)| heartbeat.revision == revision)
             .flat_map(|(_, heartbeat)| heartbeat.demands.iter().copied())
             .collect()
     }
 
-    /// Requests in flight by runner, summed over the peers that live.
+    /// The requests in flight by runner, summed over the live peers.
     pub(crate) fn peer_loads(&self) -> HashMap<Name, Load> {
         let mut loads = HashMap::new();
         for peer in self.peers.borrow().values().filter(|peer| peer.is_alive()) {
-            let Some((_, heartbeat)) = &peer.heard else {
+            let Some((_, heartbeat)) = &peer.last_heard else {
                 continue;
             };
             for load in &heartbeat.loads {
@@ -397,6 +419,6 @@
     }
 }
 
-fn rendezvous(vm: &str, task: &str) -> u64 {
+fn rendezvous_hash(vm: &str, task: &str) -> u64 {
     xxh3_64(format!("{vm}\n{task}").as_bytes())
 }
--- a/src/pause_detector.rs
+++ b/src/pause_detector.rs
@@ -1,55 +1,56 @@
-//! Notices that this process was paused: what it knows may then be outdated.
+//! Detects that this process was paused, after which its state may be outdated.
 
 use crate::signal::Signal;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// The time between two beats.
-const BEAT: Duration = Duration::from_millis(50);
-/// A beat that comes this late means that the process stood still.
-const PAUSE_LIMIT: Duration = Duration::from_millis(500);
+/// The interval between two checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// A gap between two checks of at least this length counts as a pause of the process.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// Watches over the process's own progress.
+/// Detects pauses by gaps between periodic checks.
 #[derive(Debug)]
-pub(crate) struct PauseWatch {
-    beat_at: Cell<Instant>,
-    woke_at: Cell<Option<Instant>>,
-    woken: Signal,
+pub(crate) struct PauseDetector {
+    checked_at: Cell<Instant>,
+    resumed_at: Cell<Option<Instant>>,
+    resumed: Signal,
 }
 
-impl Default for PauseWatch {
+impl Default for PauseDetector {
     fn default() -> Self {
         Self {
-            beat_at: Cell::new(Instant::now()),
-            woke_at: Cell::new(None),
-            woken: Signal::default(),
+            checked_at: Cell::new(Instant::now()),
+            resumed_at: Cell::new(None),
+            resumed: Signal::default(),
         }
     }
 }
 
-impl PauseWatch {
-    /// Beats until the process ends.
+impl PauseDetector {
+    /// Runs the periodic check until the process ends.
     pub(crate) async fn run(&self) {
         loop {
-            self.woke_at();
-            self.beat_at.set(Instant::now());
-            compio::time::sleep(BEAT).await;
+            self.resumed_at();
+            self.checked_at.set(Instant::now());
+            compio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// When the last pause ended; also sees one that no beat has shown yet.
-    pub(crate) fn woke_at(&self) -> Option<Instant> {
-        if self.beat_at.get().elapsed() >= PAUSE_LIMIT {
+    /// The time at which the last pause was detected, if any; itself checks for a pause that the
+    /// periodic check has not detected yet.
+    pub(crate) fn resumed_at(&self) -> Option<Instant> {
+        if self.checked_at.get().elapsed() >= PAUSE_THRESHOLD {
             let now = Instant::now();
-            self.beat_at.set(now);
-            self.woke_at.set(Some(now));
-            self.woken.notify();
+            self.checked_at.set(now);
+            self.resumed_at.set(Some(now));
+            self.resumed.notify();
         }
-        self.woke_at.get()
+        self.resumed_at.get()
     }
 
-    /// Waits for the end of the next pause.
-    pub(crate) fn woken(&self) -> impl Future<Output = ()> + use<> {
-        self.woken.wait()
+    /// Waits until the next pause is detected.
+    pub(crate) fn resumed(&self) -> impl Future<Output = ()> + use<> {
+        self.resumed.wait()
     }
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between VMs: one task for each peer, one for each connection.
+//! Heartbeats between VMs: one task for each peer, and one for each accepted connection.
 
 use crate::inventory::Name;
 use crate::membership::Membership;
@@ -21,36 +21,37 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 
-/// The time between two heartbeats to one peer.
+/// The interval between two heartbeats to one peer.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// A link without an answer for this long is replaced by a new connection.
+/// How long to wait for a connection or an answer; after that, a new connection is opened.
 const LINK_TIMEOUT: Duration = Duration::from_millis(750);
-/// How long a peer may take to hand over its folded state.
+/// How long a peer may take to send its folded state.
 const STATE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// The time between two looks whether a peer's state is needed.
-const STATE_LOOK: Duration = Duration::from_millis(100);
-/// The time between two states taken from peers.
+/// The interval between two checks whether a peer's state is needed.
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The pause after each request for a peer's state.
 const STATE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The largest frame, in bytes: a folded state with an inventory of the largest size.
+/// The maximum frame size, in bytes: fits a folded state with an inventory of maximum size.
 const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
+/// A connection to a peer, split into length-delimited frames.
 type Link = Framed<Compat<Pin<Box<AsyncStream<TcpStream>>>>, LengthDelimitedCodec>;
 
-/// What a VM tells its peers, and takes from them.
+/// The state that a VM exchanges with its peers.
 pub(crate) trait PeerService: 'static {
     /// Builds the heartbeat to send now.
     fn heartbeat(&self) -> Heartbeat;
-    /// Takes note of a peer's heartbeat.
-    fn heard(&self, heartbeat: &Heartbeat);
-    /// The folded control state, if it is known and goes beyond `after_offset`.
-    fn state(&self, after_offset: u64) -> Option<FoldedState>;
-    /// The offset beyond which a peer's state is of use now.
-    fn wants_state(&self) -> Option<u64>;
-    /// Takes over a peer's state.
-    fn take_state(&self, state: &FoldedState);
+    /// Handles a heartbeat received from a peer.
+    fn on_heartbeat(&self, heartbeat: &Heartbeat);
+    /// Returns the folded control state, if there is a usable one beyond `after_offset`.
+    fn folded_state(&self, after_offset: u64) -> Option<FoldedState>;
+    /// Returns the offset beyond which a peer's state is needed; `None` if none is needed.
+    fn wanted_state_offset(&self) -> Option<u64>;
+    /// Applies a peer's folded control state.
+    fn apply_state(&self, state: &FoldedState);
 }
 
-/// The links of this VM to its peers.
+/// The connections of this VM to its peers.
 pub(crate) struct Links<S: PeerService> {
     service: Rc<S>,
     membership: Rc<Membership>,
@@ -58,7 +59,7 @@
 }
 
 impl<S: PeerService> Links<S> {
-    /// Links over which `service` talks to peers.
+    /// Creates the links over which `service` exchanges state with peers.
     pub(crate) fn new(service: Rc<S>, membership: Rc<Membership>, metrics: &Metrics) -> Rc<Self> {
         Rc::new(Self {
             service,
@@ -67,12 +68,12 @@
         })
     }
 
-    /// Sends heartbeats to one peer until it is not listed any more.
-    pub(crate) async fn call(self: Rc<Self>, peer: Name) {
+    /// Sends heartbeats to one peer until it is no longer listed; reconnects after a failure.
+    pub(crate) async fn send_heartbeats(self: Rc<Self>, peer: Name) {
         while let Some(address) = self.membership.peer_address(&peer) {
-            if let Some(mut link) = open(address).await {
+            if let Some(mut link) = connect(address).await {
                 while self.membership.peer_address(&peer) == Some(address) {
-                    if !self.exchange(&mut link).await {
+                    if !self.exchange_heartbeats(&mut link).await {
                         break;
                     }
                     compio::time::sleep(HEARTBEAT_INTERVAL).await;
@@ -82,36 +83,41 @@
         }
     }
 
-    /// Sends one heartbeat and takes the one that answers it.
-    async fn exchange(self: &Rc<Self>, link: &mut Link) -> bool {
-        let asked_at = Instant::now();
-        let turn = async {
-            self.say(link).await?;
-            self.hear(link, asked_at).await
+    /// Sends one heartbeat and receives its answer; returns whether both succeeded in time.
+    async fn exchange_heartbeats(self: &Rc<Self>, link: &mut Link) -> bool {
+        let sent_at = Instant::now();
+        let round_trip = async {
+            self.send_heartbeat(link).await?;
+            self.receive_heartbeat(link, sent_at).await
         };
         matches!(
-            compio::time::timeout(LINK_TIMEOUT, turn).await,
+            compio::time::timeout(LINK_TIMEOUT, round_trip).await,
             Ok(Some(()))
         )
     }
 
-    async fn say(&self, link: &mut Link) -> Option<()> {
+    async fn send_heartbeat(&self, link: &mut Link) -> Option<()> {
         let heartbeat = Body::Heartbeat(self.service.heartbeat());
         self.send(link, heartbeat).await
     }
 
-    async fn hear(self: &Rc<Self>, link: &mut Link, asked_at: Instant) -> Option<()> {
+    async fn receive_heartbeat(
+        self: &Rc<Self>,
+        link: &mut Link,
+        request_sent_at: Instant,
+    ) -> Option<()> {
         let Body::Heartbeat(heartbeat) = self.receive(link).await? else {
             return None;
         };
-        self.note(heartbeat, Some(asked_at));
+        self.handle_heartbeat(heartbeat, Some(request_sent_at));
         Some(())
     }
 
-    fn note(self: &Rc<Self>, heartbeat: Heartbeat, asked_at: Option<Instant>) {
-        self.service.heard(&heartbeat);
-        if let Some(peer) = self.membership.note(heartbeat, asked_at) {
-            compio::runtime::spawn(self.clone().call(peer)).detach();
+    /// Records a heartbeat; starts sending heartbeats to the peer if it is new.
+    fn handle_heartbeat(self: &Rc<Self>, heartbeat: Heartbeat, request_sent_at: Option<Instant>) {
+        self.service.on_heartbeat(&heartbeat);
+        if let Some(peer) = self.membership.record_heartbeat(heartbeat, request_sent_at) {
+            compio::runtime::spawn(self.clone().send_heartbeats(peer)).detach();
         }
     }
 
@@ -127,27 +133,27 @@
         Frame::decode(frame).ok()?.body
     }
 
-    /// Takes the folded control state from a peer whenever the log does not help.
+    /// Fetches the folded control state from a peer whenever the log cannot supply it.
     pub(crate) async fn catch_up(self: Rc<Self>) {
         loop {
-            compio::time::sleep(STATE_LOOK).await;
-            let Some(offset) = self.service.wants_state() else {
+            compio::time::sleep(STATE_POLL_INTERVAL).await;
+            let Some(offset) = self.service.wanted_state_offset() else {
                 continue;
             };
-            let Some(address) = self.membership.furthest_peer(offset) else {
+            let Some(address) = self.membership.most_advanced_peer(offset) else {
                 continue;
             };
             let fetched = compio::time::timeout(STATE_TIMEOUT, self.fetch_state(address, offset));
             if let Ok(Some(state)) = fetched.await {
-                self.service.take_state(&state);
+                self.service.apply_state(&state);
             }
             compio::time::sleep(STATE_INTERVAL).await;
         }
     }
 
-    /// Asks one peer for its state, on a connection of its own: it may be large.
+    /// Requests a peer's state over a separate connection, since the state may be large.
     async fn fetch_state(&self, address: SocketAddr, after_offset: u64) -> Option<FoldedState> {
-        let mut link = open(address).await?;
+        let mut link = connect(address).await?;
         let request = Body::StateRequest(StateRequest { after_offset });
         self.send(&mut link, request).await?;
         match self.receive(&mut link).await? {
@@ -159,14 +165,14 @@
         }
     }
 
-    /// Accepts links from peers until shutdown closes.
+    /// Accepts connections from peers until `shutdown` is closed.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener, shutdown: Rc<Shutdown>) {
         let mut stop = pin!(shutdown.wait());
         loop {
             let accept = pin!(listener.accept());
             match select(accept, stop.as_mut()).await {
                 Either::Left((Ok((stream, _)), _)) => {
-                    compio::runtime::spawn(self.clone().answer(stream)).detach();
+                    compio::runtime::spawn(self.clone().serve_connection(stream)).detach();
                 }
                 Either::Left((Err(_), _)) => compio::time::sleep(HEARTBEAT_INTERVAL).await,
                 Either::Right(_) => return,
@@ -174,15 +180,16 @@
         }
     }
 
-    async fn answer(self: Rc<Self>, stream: TcpStream) {
-        let mut link = frame(stream);
+    /// Answers the frames of one connection until it fails or a frame has no answer.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        let mut link = framed(stream);
         while let Some(body) = self.receive(&mut link).await {
             let answered = match body {
                 Body::Heartbeat(heartbeat) => {
-                    self.note(heartbeat, None);
-                    self.say(&mut link).await
+                    self.handle_heartbeat(heartbeat, None);
+                    self.send_heartbeat(&mut link).await
                 }
-                Body::StateRequest(request) => self.hand_over(&mut link, &request).await,
+                Body::StateRequest(request) => self.send_state(&mut link, &request).await,
                 Body::ControlState(_) => None,
             };
             if answered.is_none() {
@@ -191,8 +198,8 @@
         }
     }
 
-    async fn hand_over(&self, link: &mut Link, request: &StateRequest) -> Option<()> {
-        let state = self.service.state(request.after_offset)?;
+    async fn send_state(&self, link: &mut Link, request: &StateRequest) -> Option<()> {
+        let state = self.service.folded_state(request.after_offset)?;
         let state = ControlState {
             read_to: state.read_to,
             record: state.record,
@@ -201,16 +208,16 @@
     }
 }
 
-async fn open(address: SocketAddr) -> Option<Link> {
+async fn connect(address: SocketAddr) -> Option<Link> {
     let stream = compio::time::timeout(LINK_TIMEOUT, TcpStream::connect(address))
         .await
         .ok()?
         .ok()?;
-    Some(frame(stream))
+    Some(framed(stream))
 }
 
-fn frame(stream: TcpStream) -> Link {
-    // A slow loss of this option only costs latency.
+fn framed(stream: TcpStream) -> Link {
+    // Failing to set TCP_NODELAY only costs latency.
     let _ = stream.set_nodelay(true);
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME_BYTES)
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -75,16 +75,20 @@
 
 impl Planner {
     /// A planner over the services it reads; `writer` names this run in the log.
-    pub(crate) fn new(kernel: &crate::service_registry::Kernel, vm: Name, writer: Name) -> Self {
-        let metrics: Rc<Metrics> = kernel.find();
+    pub(crate) fn new(
+        registry: &crate::service_registry::ServiceRegistry,
+        vm: Name,
+        writer: Name,
+    ) -> Self {
+        let metrics: Rc<Metrics> = registry.find();
         Self {
-            control: kernel.find(),
-            demand: kernel.find(),
-            fleet: kernel.find(),
-            membership: kernel.find(),
+            control: registry.find(),
+            demand: registry.find(),
+            fleet: registry.find(),
+            membership: registry.find(),
             engines: EngineClient::new(metrics.leg("reports")),
             metrics,
-            shutdown: kernel.find(),
+            shutdown: registry.find(),
             vm,
             writer,
             attempts: RefCell::default(),
@@ -133,7 +137,7 @@
         match held {
             Some(claim) if claim.vm == self.vm => true,
             Some(claim) if self.membership.is_alive(&claim.vm) => false,
-            _ => self.membership.is_first_for(group),
+            _ => self.membership.is_assigned(group),
         }
     }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,4 +1,4 @@
-//! One VM's process: its services put together, from start to shutdown.
+//! The process of one VM: creates its services, runs them, and shuts them down.
 
 use crate::config::Config;
 use crate::control::Control;
@@ -9,7 +9,7 @@
 use crate::external::{HttpLog, HttpVmList};
 use crate::fleet::Fleet;
 use crate::http;
-use crate::idempotency::{KeyWindow, Keys};
+use crate::idempotency::{IdempotencyKeys, KeyWindow};
 use crate::inventory::Name;
 use crate::membership::Membership;
 use crate::metrics::Metrics;
@@ -19,7 +19,7 @@
 use crate::planner::Planner;
 use crate::quarantine::Quarantine;
 use crate::router::Router;
-use crate::service_registry::{Kernel, Service};
+use crate::service_registry::{Service, ServiceRegistry};
 use crate::shutdown::Shutdown;
 use crate::snapshot_writer::Keeper;
 use crate::stream::{FoldedState, Stream};
@@ -34,7 +34,7 @@
 /// The control stream of one VM.
 pub(crate) type ControlStream = Stream<Control, HttpLog>;
 /// The stream of idempotency keys of one VM.
-pub(crate) type KeyStream = Stream<Keys, HttpLog>;
+pub(crate) type KeyStream = Stream<IdempotencyKeys, HttpLog>;
 
 impl Service for ControlStream {
     const NAME: &'static str = "control";
@@ -48,16 +48,16 @@
     const NAME: &'static str = "shutdown";
 }
 
-/// The time from one telling of the demand to the next.
+/// The interval after which the demand is included in heartbeats again.
 const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The signals that begin a graceful shutdown: SIGTERM and SIGINT.
+/// The signals that start a graceful shutdown: SIGTERM and SIGINT.
 const STOP_SIGNALS: [i32; 2] = [15, 2];
 
-/// How often the share of the log's appends is worked out anew.
+/// The interval at which this VM's share of the append budget is recomputed.
 const PACE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What this VM tells its peers, and takes from them.
+/// The state that this VM exchanges with its peers.
 struct VmPeerService {
     config: Config,
     boot: u64,
@@ -66,18 +66,19 @@
     demand: Rc<Demand>,
     membership: Rc<Membership>,
     shutdown: Rc<Shutdown>,
-    demand_said_at: Cell<Instant>,
+    demand_sent_at: Cell<Instant>,
 }
 
 impl VmPeerService {
-    /// The demand, in all heartbeats of a short time and then not for a while.
+    /// Returns the demand by model for all heartbeats within one heartbeat interval, so that it
+    /// reaches every peer; then returns nothing until `DEMAND_INTERVAL` has passed.
     fn demands(&self) -> Vec<ModelDemand> {
-        let age = self.demand_said_at.get().elapsed();
+        let age = self.demand_sent_at.get().elapsed();
         if age < DEMAND_INTERVAL {
             return Vec::new();
         }
         if age > DEMAND_INTERVAL + HEARTBEAT_INTERVAL {
-            self.demand_said_at.set(Instant::now());
+            self.demand_sent_at.set(Instant::now());
         }
         self.control
             .with(|control| self.demand.to_wire(&control.inventory))
@@ -95,27 +96,27 @@
             control_offset: self.control.next_offset(),
             loads: self.fleet.loads(),
             demands: self.demands(),
-            leaving_servers: self.membership.listed_leaving(),
+            leaving_servers: self.membership.listed_leaving_servers(),
             list_age_ms: self.membership.list_age().map(|age| age.as_millis() as u64),
             peer_address: self.config.peer_address.to_string(),
         }
     }
 
-    fn heard(&self, heartbeat: &Heartbeat) {
+    fn on_heartbeat(&self, heartbeat: &Heartbeat) {
         self.control.note_peer_offset(heartbeat.control_offset);
     }
 
-    fn state(&self, after_offset: u64) -> Option<FoldedState> {
-        let known = self.control.is_known() && self.control.next_offset() > after_offset;
-        known.then(|| self.control.state())
+    fn folded_state(&self, after_offset: u64) -> Option<FoldedState> {
+        let is_usable = self.control.is_known() && self.control.next_offset() > after_offset;
+        is_usable.then(|| self.control.state())
     }
 
-    fn wants_state(&self) -> Option<u64> {
-        let cut_off = self.control.is_cut_off();
-        cut_off.then(|| self.control.next_offset())
+    fn wanted_state_offset(&self) -> Option<u64> {
+        let is_cut_off = self.control.is_cut_off();
+        is_cut_off.then(|| self.control.next_offset())
     }
 
-    fn take_state(&self, state: &FoldedState) {
+    fn apply_state(&self, state: &FoldedState) {
         if self.control.take_state(state) {
             emit(
                 Event::StateTaken,
@@ -125,29 +126,29 @@
     }
 }
 
-/// Serves until a signal asks to stop, then drains.
+/// Serves until SIGTERM or SIGINT, then drains.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound.
+/// Fails if an address cannot be bound.
 pub async fn serve(config: Config) -> Result<(), Report<Fault>> {
     let callers = bind(config.caller_address).await?;
     let operators = bind(config.operator_address).await?;
     let peers = bind(config.peer_address).await?;
     let boot: u64 = rand::random();
-    let kernel = assemble(&config, boot);
-    start_peers(&kernel, &config, boot, peers);
-    start_fleet(&kernel);
-    start_pace(&kernel, config.key_appends_per_s);
-    let keeper = Keeper::new(&kernel, config.log_retention_ms);
+    let registry = assemble(&config, boot);
+    start_peers(&registry, &config, boot, peers);
+    start_fleet_updates(&registry);
+    start_append_pacing(&registry, config.key_appends_per_s);
+    let keeper = Keeper::new(&registry, config.log_retention_ms);
     compio::runtime::spawn(keeper.run()).detach();
-    compio::runtime::spawn(kernel.find::<Planner>().run()).detach();
-    compio::runtime::spawn(kernel.find::<Router>().keep_room()).detach();
+    compio::runtime::spawn(registry.find::<Planner>().run()).detach();
+    compio::runtime::spawn(registry.find::<Router>().keep_room()).detach();
 
-    let shutdown: Rc<Shutdown> = kernel.find();
+    let shutdown: Rc<Shutdown> = registry.find();
     let operator_shutdown = Rc::new(Shutdown::default());
-    let operator: Rc<Operator> = kernel.find();
-    let entry: Rc<Entry> = kernel.find();
+    let operator: Rc<Operator> = registry.find();
+    let entry: Rc<Entry> = registry.find();
     compio::runtime::spawn(http::serve(
         operators,
         operator_shutdown.clone(),
@@ -170,88 +171,90 @@
     Ok(())
 }
 
-/// Creates every service, those that others need first.
-fn assemble(config: &Config, boot: u64) -> Kernel {
-    let kernel = Kernel::default();
+/// Creates and registers every service, each after those that it depends on.
+fn assemble(config: &Config, boot: u64) -> ServiceRegistry {
+    let registry = ServiceRegistry::default();
     let writer: Name = format!("{}/{boot:016x}", config.vm).into();
-    kernel.register(Rc::new(Shutdown::default()));
-    let metrics = kernel.register(Rc::new(Metrics::new()));
+    registry.register(Rc::new(Shutdown::default()));
+    let metrics = registry.register(Rc::new(Metrics::new()));
     let log = Rc::new(HttpLog::new(config.log_address, metrics.leg("log")));
     let control: Rc<ControlStream> =
-        kernel.register(Stream::open("control", log.clone(), writer.clone()));
-    let keys: Rc<KeyStream> = kernel.register(Stream::open("keys", log, writer.clone()));
-    let membership = kernel.register(Rc::new(Membership::new(config.vm.clone())));
-    let fleet = kernel.register(Rc::new(Fleet::new(metrics.leg("reports"))));
-    let demand = kernel.register(Rc::new(Demand::new(membership.clone())));
-    kernel.register(Rc::new(Quarantine::new(control.clone())));
-    kernel.register(Rc::new(Router::new(
+        registry.register(Stream::open("control", log.clone(), writer.clone()));
+    let keys: Rc<KeyStream> = registry.register(Stream::open("keys", log, writer.clone()));
+    let membership = registry.register(Rc::new(Membership::new(config.vm.clone())));
+    let fleet = registry.register(Rc::new(Fleet::new(metrics.leg("reports"))));
+    let demand = registry.register(Rc::new(Demand::new(membership.clone())));
+    registry.register(Rc::new(Quarantine::new(control.clone())));
+    registry.register(Rc::new(Router::new(
         control.clone(),
         fleet,
         membership.clone(),
         demand,
     )));
-    kernel.register(Rc::new(PlainCalls::new(
+    registry.register(Rc::new(PlainCalls::new(
         control,
         keys,
         membership,
-        kernel.find(),
+        registry.find(),
         KeyWindow::for_retention(config.log_retention_ms),
     )));
-    kernel.register(Rc::new(Planner::new(&kernel, config.vm.clone(), writer)));
-    kernel.register(Rc::new(Entry::new(&kernel, config.max_body_bytes)));
+    registry.register(Rc::new(Planner::new(&registry, config.vm.clone(), writer)));
+    registry.register(Rc::new(Entry::new(&registry, config.max_body_bytes)));
     let zone = config.availability_zone.clone();
-    kernel.register(Rc::new(Operator::new(&kernel, config.vm.clone(), zone)));
-    kernel
+    registry.register(Rc::new(Operator::new(&registry, config.vm.clone(), zone)));
+    registry
 }
 
-fn start_peers(kernel: &Kernel, config: &Config, boot: u64, listener: TcpListener) {
-    let membership: Rc<Membership> = kernel.find();
-    let shutdown: Rc<Shutdown> = kernel.find();
+/// Starts the tasks that exchange heartbeats, detect pauses and poll the VM list.
+fn start_peers(registry: &ServiceRegistry, config: &Config, boot: u64, listener: TcpListener) {
+    let membership: Rc<Membership> = registry.find();
+    let shutdown: Rc<Shutdown> = registry.find();
     let service = Rc::new(VmPeerService {
         config: config.clone(),
         boot,
-        control: kernel.find(),
-        fleet: kernel.find(),
-        demand: kernel.find(),
+        control: registry.find(),
+        fleet: registry.find(),
+        demand: registry.find(),
         membership: membership.clone(),
         shutdown: shutdown.clone(),
-        demand_said_at: Cell::new(Instant::now()),
+        demand_sent_at: Cell::new(Instant::now()),
     });
-    let links = Links::new(service, membership.clone(), &kernel.find::<Metrics>());
+    let links = Links::new(service, membership.clone(), &registry.find::<Metrics>());
     compio::runtime::spawn(links.clone().accept(listener, shutdown)).detach();
     compio::runtime::spawn(links.clone().catch_up()).detach();
-    compio::runtime::spawn(membership.clone().watch_pauses(kernel.find())).detach();
+    compio::runtime::spawn(membership.clone().watch_pauses(registry.find())).detach();
     let list = HttpVmList::new(config.vm_list_address);
-    let found = move |peer| compio::runtime::spawn(links.clone().call(peer)).detach();
-    compio::runtime::spawn(membership.follow(list, found)).detach();
+    let on_new_peer =
+        move |peer| compio::runtime::spawn(links.clone().send_heartbeats(peer)).detach();
+    compio::runtime::spawn(membership.poll_list(list, on_new_peer)).detach();
 }
 
-/// Keeps this VM's share of the appends in step with the number of VMs.
-fn start_pace(kernel: &Kernel, appends_per_s: u32) {
-    let keys: Rc<KeyStream> = kernel.find();
-    let membership: Rc<Membership> = kernel.find();
+/// Starts the task that adjusts this VM's share of the append budget to the number of live VMs.
+fn start_append_pacing(registry: &ServiceRegistry, appends_per_s: u32) {
+    let keys: Rc<KeyStream> = registry.find();
+    let membership: Rc<Membership> = registry.find();
     compio::runtime::spawn(async move {
         loop {
             keys.pace()
-                .share(appends_per_s, 1 + membership.live_peers());
+                .set_share(appends_per_s, 1 + membership.live_peer_count());
             compio::time::sleep(PACE_INTERVAL).await;
         }
     })
     .detach();
 }
 
-/// Keeps the fleet in step with the inventory in force.
-fn start_fleet(kernel: &Kernel) {
-    let control: Rc<ControlStream> = kernel.find();
-    let fleet: Rc<Fleet> = kernel.find();
+/// Starts the task that updates the fleet to the runners of each new inventory revision.
+fn start_fleet_updates(registry: &ServiceRegistry) {
+    let control: Rc<ControlStream> = registry.find();
+    let fleet: Rc<Fleet> = registry.find();
     compio::runtime::spawn(async move {
         let mut revision = 0;
         loop {
             let changed = control.changed();
-            let (now, inventory) =
+            let (current, inventory) =
                 control.with(|control| (control.revision, control.inventory.clone()));
-            if now != revision {
-                revision = now;
+            if current != revision {
+                revision = current;
                 fleet.take(inventory.runners());
                 emit(
                     Event::RevisionInForce,
@@ -271,17 +274,18 @@
         .attach_with(|| format!("{address}"))
 }
 
+/// Waits for one of [`STOP_SIGNALS`].
 async fn stop_signal() {
     let [terminate, interrupt] = STOP_SIGNALS.map(|signal| {
         Box::pin(async move {
-            // Without a handler the signal ends the process by itself.
+            // If no handler can be installed, the signal ends the process by its default action.
             let _ = compio::signal::unix::signal(signal).await;
         })
     });
     futures_util::future::select(terminate, interrupt).await;
 }
 
-/// Fails health answers first, then closes listeners, then waits for open work.
+/// Fails health checks for the grace period, then closes listeners and waits for open work.
 async fn drain(config: &Config, shutdown: &Rc<Shutdown>) {
     shutdown.leave();
     emit(Event::Leaving, format_args!("open={}", shutdown.open()));
--- a/src/service_registry.rs
+++ b/src/service_registry.rs
@@ -1,25 +1,25 @@
-//! The micro-kernel: a registry in which services find each other by name.
+//! The service registry (micro-kernel), in which services look each other up by name.
 
 use std::any::Any;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A part of the process that other parts look up by name.
+/// A component that other components look up by name.
 pub(crate) trait Service: 'static {
     /// The name under which the service is registered.
     const NAME: &'static str;
 }
 
-/// The registry of one process.
+/// The registry of one process's services.
 ///
 /// Look-ups happen while services start, never on the request path.
 #[derive(Default)]
-pub(crate) struct Kernel {
+pub(crate) struct ServiceRegistry {
     services: RefCell<HashMap<&'static str, Rc<dyn Any>>>,
 }
 
-impl Kernel {
+impl ServiceRegistry {
     /// Registers `service` under its name and returns it.
     pub(crate) fn register<S: Service>(&self, service: Rc<S>) -> Rc<S> {
         self.services
@@ -28,11 +28,11 @@
         service
     }
 
-    /// Finds a service by its name.
+    /// Returns the service registered under the name of `S`.
     ///
     /// # Panics
     ///
-    /// Panics when the service was not registered: the start order is wrong.
+    /// Panics if the service is not registered yet, which is an error in the start order.
     pub(crate) fn find<S: Service>(&self) -> Rc<S> {
         self.services
             .borrow()
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -1,14 +1,14 @@
-//! Graceful shutdown: a signal that tasks wait for, and a count of open work.
+//! Graceful shutdown: a signal that tasks wait for, and a count of the work in flight.
 
 use crate::signal::Signal;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the wait for open work looks again.
-const POLL: Duration = Duration::from_millis(20);
+/// The interval at which [`Shutdown::drained`] checks for remaining work.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The state of one process's shutdown.
+/// The shutdown state of one process.
 #[derive(Debug, Default)]
 pub struct Shutdown {
     leaving: Cell<bool>,
@@ -17,28 +17,28 @@
     closing: Signal,
 }
 
-/// Keeps one piece of work counted as open until dropped.
+/// Counts one unit of work as open until dropped.
 #[derive(Debug)]
-pub struct OpenGuard(Rc<Shutdown>);
+pub struct WorkGuard(Rc<Shutdown>);
 
-impl Drop for OpenGuard {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
 }
 
 impl Shutdown {
-    /// Marks the process as leaving: health answers fail, work goes on.
+    /// Marks the process as leaving: health checks fail, requests are still served.
     pub fn leave(&self) {
         self.leaving.set(true);
     }
 
-    /// Whether the process is leaving.
+    /// Whether the process is marked as leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    /// Stops listeners and closes connections after the request they are at.
+    /// Stops listeners, and closes each connection once its current request has ended.
     pub fn close(&self) {
         self.closed.set(true);
         self.closing.notify();
@@ -52,22 +52,22 @@
         self.closing.wait().await;
     }
 
-    /// Counts a piece of work as open.
-    pub fn enter(self: &Rc<Self>) -> OpenGuard {
+    /// Counts a unit of work as open until the guard is dropped.
+    pub fn enter(self: &Rc<Self>) -> WorkGuard {
         self.open.set(self.open.get() + 1);
-        OpenGuard(self.clone())
+        WorkGuard(self.clone())
     }
 
-    /// The number of open pieces of work.
+    /// The number of open units of work.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Waits until no work is open, at most `limit`; tells whether none is.
+    /// Waits until no work is open, at most for `limit`; returns whether none is.
     pub async fn drained(&self, limit: Duration) -> bool {
         let start = std::time::Instant::now();
         while self.open.get() > 0 && start.elapsed() < limit {
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         self.open.get() == 0
     }
