--- a/src/completion.rs
+++ b/src/completion.rs
@@ -2,7 +2,7 @@
 
 use crate::batch_queue::Ticket;
 use crate::client::{Connection, Pool, SendError};
-use crate::control::Standing;
+use crate::control::SuspectStatus;
 use crate::engine::request;
 use crate::error::{Failure, Kind, Ran};
 use crate::events::{Event, emit};
@@ -326,7 +326,7 @@
     fn end_isolation(&mut self, cleared: bool) {
         let quarantine = &self.shared.quarantine;
         let fingerprint = self.ask.fingerprint;
-        if cleared && quarantine.standing(fingerprint) == Standing::Suspect {
+        if cleared && quarantine.standing(fingerprint) == SuspectStatus::Suspect {
             quarantine.clear(fingerprint);
         }
         self.isolation = None;
@@ -373,7 +373,7 @@
     }
 
     fn refuse_suspect(&self) -> Result<(), Failure> {
-        if self.shared.quarantine.standing(self.ask.fingerprint) != Standing::Poison {
+        if self.shared.quarantine.standing(self.ask.fingerprint) != SuspectStatus::Poison {
             return Ok(());
         }
         let message = "runners crashed each time this request was aboard";
@@ -386,7 +386,7 @@
     /// Returns `None` when the runner cannot be had now.
     async fn engine_run(&mut self, runner: &Rc<Runner>) -> Option<EngineRun> {
         let quarantine = &self.shared.quarantine;
-        if quarantine.standing(self.ask.fingerprint) == Standing::Clear {
+        if quarantine.standing(self.ask.fingerprint) == SuspectStatus::Clear {
             let boot = runner.report(|report| report.boot)?;
             let runner = runner.clone();
             return Some(EngineRun { runner, boot });
@@ -505,7 +505,7 @@
         let now = Instant::now();
         let is_hopeful = now < self.hopeful_until
             || router.is_coming(target, pinned)
-            || router.is_served(target);
+            || router.has_ready_runner(target);
         if now >= self.give_up_at || !is_hopeful {
             return Err(self.exhausted("no runner can take the request now"));
         }
@@ -535,7 +535,7 @@
         );
         let in_flight = choice.runner.enter(self.ask.priority);
         if self.ask.priority == Priority::Urgent {
-            self.shared.router.make_room_on(&choice.runner);
+            self.shared.router.request_batch_yields(&choice.runner);
         }
         let body = self.body_for(&choice.target);
         let (connection, response) = self.send(&choice, body).await?;
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -94,7 +94,7 @@
     ///
     /// While the log is down, calls that need a key are refused, and all others are served.
     pub(crate) fn is_ready(&self) -> bool {
-        self.control.is_known()
+        self.control.has_usable_state()
             && (self.keys.is_ready() || self.keys.is_cut_off())
             && self.control.with(|control| control.revision > 0)
     }
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -67,7 +67,7 @@
 
     /// Whether one more server may execute the request.
     pub(crate) fn may_run_again(&self) -> bool {
-        self.route.is_repeatable() && self.runs < self.route.max_attempts
+        self.route.is_retryable() && self.runs < self.route.max_attempts
     }
 
     /// The weights that the request needs; `None` for requests to plain services.
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration in force: routes, services and limits.
 
-use crate::callers::{ApiKey, Organisation, Register};
+use crate::callers::{ApiKey, ApiKeyIndex, Organisation};
 use crate::gateway::failure::Failure;
 use crate::gateway::fleet::holds;
 use crate::gateway::{Holding, Weights};
@@ -21,7 +21,7 @@
     /// What callers may send.
     pub(crate) limits: Limits,
     /// The organisations that may send; `None` where requests need no key.
-    pub(crate) organisations: Option<Rc<Register>>,
+    pub(crate) organisations: Option<Rc<ApiKeyIndex>>,
 }
 
 /// Where requests of one host and path prefix go, and how they may be handled.
@@ -119,9 +119,9 @@
     /// A load from the weight store.
     pub(crate) load_ms: u64,
     /// A load from the runner's own memory.
-    pub(crate) warm_ms: u64,
+    pub(crate) warm_load_ms: u64,
     /// A load from the runner's own disk.
-    pub(crate) disk_ms: u64,
+    pub(crate) disk_load_ms: u64,
     /// How many adapters it has.
     pub(crate) adapters: u32,
     /// The size of an adapter, in MB.
@@ -177,7 +177,7 @@
     }
 
     /// With the organisations that may send.
-    pub(crate) fn with_organisations(mut self, organisations: Register) -> Self {
+    pub(crate) fn with_organisations(mut self, organisations: ApiKeyIndex) -> Self {
         self.organisations = Some(Rc::new(organisations));
         self
     }
@@ -230,7 +230,7 @@
 
 impl Route {
     /// Whether a request may run more than once.
-    pub(crate) fn is_repeatable(&self) -> bool {
+    pub(crate) fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
             RouteKind::Unsafe => false,
--- a/src/gateway/election.rs
+++ b/src/gateway/election.rs
@@ -40,7 +40,7 @@
 const CLAIM_PAUSE: Duration = Duration::from_millis(300);
 
 /// This VM's part in leading.
-pub(crate) struct Leading<S, R> {
+pub(crate) struct LeaderElection<S, R> {
     state: Rc<State>,
     store: Rc<S>,
     ordering: Rc<Ordering<R>>,
@@ -66,7 +66,7 @@
     is_unchecked: Cell<bool>,
 }
 
-impl<S: Group + Claims, R: RunnerControl> Leading<S, R> {
+impl<S: Group + Claims, R: RunnerControl> LeaderElection<S, R> {
     /// A VM that is no member yet.
     pub(crate) fn new(state: Rc<State>, store: Rc<S>, runners: R) -> Rc<Self> {
         let member = state.settings.peer_address.to_string();
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,7 +1,7 @@
 //! Sending one request to one backend server, and the pool of idle connections.
 
 use crate::client::{Connection, SendError};
-use crate::gateway::fleet::{InFlight, Incarnation, Server};
+use crate::gateway::fleet::{InFlightGuard, Incarnation, Server};
 use crate::gateway::{Protocol, Reply};
 use crate::http::Body;
 use crate::inventory::Name;
@@ -45,7 +45,7 @@
     /// The server that answers.
     pub(crate) server: Rc<Server>,
     connection: Connection,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 /// The pool of this VM's idle connections to backend servers.
@@ -78,7 +78,7 @@
         model: Name,
         request: impl Fn() -> Request<Body>,
     ) -> Result<Exchange, SendError> {
-        let in_flight = server.enter(model);
+        let in_flight = server.track_in_flight(model);
         while let Some(mut connection) = self.take(server) {
             match connection.send(request()).await {
                 // The connection was closed before the request was written: try the next one.
@@ -163,7 +163,7 @@
         server: &Rc<Server>,
         connection: Connection,
         response: Response<Incoming>,
-        in_flight: InFlight,
+        in_flight: InFlightGuard,
     ) -> Self {
         let (head, body) = response.into_parts();
         Self {
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -122,12 +122,12 @@
 
 /// Counts a request as in flight on a server until dropped.
 #[derive(Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     server: Rc<Server>,
     model: Name,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut in_flight = self.server.in_flight.borrow_mut();
         if let Some(count) = in_flight.get_mut(&self.model) {
@@ -165,7 +165,7 @@
     }
 
     /// Looks at the server's entry.
-    pub(crate) fn with<R>(&self, look: impl FnOnce(&Entry) -> R) -> R {
+    pub(crate) fn with_entry<R>(&self, look: impl FnOnce(&Entry) -> R) -> R {
         look(&self.entry.borrow())
     }
 
@@ -175,12 +175,12 @@
     }
 
     /// Whether its entry is gone.
-    pub(crate) fn is_lapsed(&self) -> bool {
+    pub(crate) fn is_marked_removed(&self) -> bool {
         self.lapsed_at.get().is_some()
     }
 
     /// Whether it broke or refused a connection a moment ago.
-    pub(crate) fn is_passed_over(&self, now: Instant) -> bool {
+    pub(crate) fn is_in_backoff(&self, now: Instant) -> bool {
         self.passed_over_until
             .get()
             .is_some_and(|until| now < until)
@@ -201,13 +201,13 @@
     }
 
     /// Counts one more request for a model; the empty name stands for plain calls.
-    pub(crate) fn enter(self: &Rc<Self>, model: Name) -> InFlight {
+    pub(crate) fn track_in_flight(self: &Rc<Self>, model: Name) -> InFlightGuard {
         *self
             .in_flight
             .borrow_mut()
             .entry(model.clone())
             .or_default() += 1;
-        InFlight {
+        InFlightGuard {
             server: self.clone(),
             model,
         }
@@ -282,13 +282,13 @@
 
 /// What an entry brought.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Taken {
+pub(crate) enum EntryChange {
     /// Nothing, or only that the server lives.
     Renewed,
     /// The server holds something else, or its entry is back.
     Changed,
     /// The server is new or changed its state.
-    News,
+    AvailabilityChanged,
 }
 
 /// All backend servers in the directory.
@@ -304,16 +304,16 @@
     ///
     /// A server that started again under its id is a new one, which holds nothing of before;
     /// an entry that it wrote earlier than the present one is passed over.
-    pub(crate) fn take(&self, entry: Entry) -> Taken {
+    pub(crate) fn take(&self, entry: Entry) -> EntryChange {
         let mut servers = self.servers.borrow_mut();
         let ended = self.ended.borrow_mut().remove(&entry.id);
         if let Some(ended) = ended.filter(|ended| *ended > entry.started_ms) {
             self.ended.borrow_mut().insert(entry.id, ended);
-            return Taken::Renewed;
+            return EntryChange::Renewed;
         }
         let known = servers.get(&entry.id);
         if known.is_some_and(|server| !entry.is_newer_than(&server.entry.borrow())) {
-            return Taken::Renewed;
+            return EntryChange::Renewed;
         }
         let same = known.filter(|server| {
             server.started_ms == entry.started_ms && server.address == entry.address
@@ -322,27 +322,27 @@
             let was_lapsed = server.lapsed_at.take().is_some();
             let before = server.entry.replace(entry.clone());
             if before.state != entry.state {
-                return Taken::News;
+                return EntryChange::AvailabilityChanged;
             }
             let is_same = before.holdings == entry.holdings && before.slots == entry.slots;
             return match is_same && !was_lapsed {
-                true => Taken::Renewed,
-                false => Taken::Changed,
+                true => EntryChange::Renewed,
+                false => EntryChange::Changed,
             };
         }
         servers.insert(entry.id.clone(), Rc::new(Server::new(entry)));
-        Taken::News
+        EntryChange::AvailabilityChanged
     }
 
-    /// Marks a server's entry as gone; [`Fleet::forget_lapsed`] takes it away.
-    pub(crate) fn lapse(&self, id: &str, now: Instant) {
+    /// Marks a server's entry as gone; [`Fleet::purge_removed`] takes it away.
+    pub(crate) fn mark_removed(&self, id: &str, now: Instant) {
         if let Some(server) = self.servers.borrow().get(id) {
             server.lapsed_at.set(Some(now));
         }
     }
 
     /// Takes away servers whose entry has been gone for `limit`; returns their ids.
-    pub(crate) fn forget_lapsed(&self, limit: Duration, now: Instant) -> Vec<Name> {
+    pub(crate) fn purge_removed(&self, limit: Duration, now: Instant) -> Vec<Name> {
         let mut gone = Vec::new();
         let mut ended = self.ended.borrow_mut();
         if ended.len() >= MAX_ENDED {
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -10,19 +10,19 @@
 
 /// One metric as docs/METRICS.md shows it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct MetricRow {
+pub(crate) struct MetricDescription {
     /// The name, without the prefix of all.
     pub(crate) name: &'static str,
     /// What it counts or measures.
     pub(crate) meaning: &'static str,
 }
 
-const fn row(name: &'static str, meaning: &'static str) -> MetricRow {
-    MetricRow { name, meaning }
+const fn row(name: &'static str, meaning: &'static str) -> MetricDescription {
+    MetricDescription { name, meaning }
 }
 
 /// Every metric of the serving role.
-pub(crate) const ROWS: &[MetricRow] = &[
+pub(crate) const METRIC_DESCRIPTIONS: &[MetricDescription] = &[
     row(
         "served_requests",
         "requests ended, by route kind and outcome",
@@ -111,7 +111,7 @@
     pub(crate) answer: Histogram,
     pub(crate) first_event: Histogram,
     pub(crate) longest_pause: Histogram,
-    pub(crate) place_wait: Histogram,
+    pub(crate) slot_wait: Histogram,
     pub(crate) organisations: Family<OrganisationLabels, Counter>,
     pub(crate) attempts: Family<OutcomeLabels, Counter>,
     pub(crate) retries: Counter,
@@ -143,7 +143,7 @@
             answer: seconds(),
             first_event: seconds(),
             longest_pause: seconds(),
-            place_wait: seconds(),
+            slot_wait: seconds(),
             organisations: Family::default(),
             attempts: Family::default(),
             retries: Counter::default(),
@@ -169,7 +169,7 @@
         self.register("answer_seconds", self.answer.clone());
         self.register("first_event_seconds", self.first_event.clone());
         self.register("longest_pause_seconds", self.longest_pause.clone());
-        self.register("place_wait_seconds", self.place_wait.clone());
+        self.register("place_wait_seconds", self.slot_wait.clone());
         self.register("organisation_requests", self.organisations.clone());
         self.register("attempts", self.attempts.clone());
         self.register("retries", self.retries.clone());
@@ -188,7 +188,7 @@
     }
 
     fn register(&mut self, name: &'static str, metric: impl Metric) {
-        let row = ROWS.iter().find(|row| row.name == name);
+        let row = METRIC_DESCRIPTIONS.iter().find(|row| row.name == name);
         let row = row.expect("every metric has a row");
         self.registry.register(row.name, row.meaning, metric);
     }
--- a/src/gateway/order_queue.rs
+++ b/src/gateway/order_queue.rs
@@ -190,7 +190,7 @@
     fn fits(&self, server: &Server, report: &RunnerReport, weights: &Weights) -> bool {
         let configuration = self.state.configuration();
         let engine = configuration.as_ref().and_then(|configuration| {
-            let service = server.with(|entry| entry.service.clone());
+            let service = server.with_entry(|entry| entry.service.clone());
             configuration.services.get(&service)?.engine.as_ref()
         });
         engine.is_some_and(|engine| engine.has_room(&report.holdings, &report.coming, weights))
@@ -251,11 +251,11 @@
         let Some(model) = model else {
             return REPORT_LAG;
         };
-        let millis = server.with(|entry| {
+        let millis = server.with_entry(|entry| {
             if entry.in_memory.contains(&weights.model) {
-                model.warm_ms
+                model.warm_load_ms
             } else if entry.on_disk.contains(&weights.model) {
-                model.disk_ms
+                model.disk_load_ms
             } else {
                 model.load_ms
             }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -451,7 +451,7 @@
         }
         let answered = exchange.reply.server.as_ref();
         if answered.is_some_and(|id| *id != server.id) {
-            self.state.fleet.lapse(&server.id, now);
+            self.state.fleet.mark_removed(&server.id, now);
         } else if let Some(weights) = call.weights() {
             server.note_missing(weights, now);
         }
@@ -485,7 +485,7 @@
                 return Some(head);
             }
             let is_last = call.runs + 1 >= call.route.max_attempts;
-            let may_resend = !is_last && call.route.is_repeatable();
+            let may_resend = !is_last && call.route.is_retryable();
             if call.time_left().is_zero() || (may_resend && self.may_abandon(call, server)) {
                 return None;
             }
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -98,7 +98,7 @@
     /// Whether most slots of a server are in use.
     pub(crate) fn is_busy(&self, server: &Server) -> bool {
         let in_flight = server.in_flight() + self.state.peers.in_flight(&server.id);
-        f64::from(in_flight) >= BUSY_LOAD * server.with(|entry| f64::from(entry.slots))
+        f64::from(in_flight) >= BUSY_LOAD * server.with_entry(|entry| f64::from(entry.slots))
     }
 
     /// Selects the server to send to; waits for a free slot, for the prefill of queued prompts, or
@@ -112,7 +112,7 @@
                 Ok(server) => {
                     let waited = call.arrived.elapsed();
                     if position.is_some() {
-                        self.state.metrics.place_wait.observe(waited.as_secs_f64());
+                        self.state.metrics.slot_wait.observe(waited.as_secs_f64());
                     }
                     return Ok(server);
                 }
@@ -129,7 +129,7 @@
                 let send_by = call.timing().send_by(call.prefill_time());
                 position.get_or_insert_with(|| self.queue.enqueue(&weights, send_by));
                 if matches!(obstacle, Obstacle::NoServer) {
-                    waiting.get_or_insert_with(|| self.state.wait_for(&weights));
+                    waiting.get_or_insert_with(|| self.state.count_waiting(&weights));
                 }
             }
             let poll = match obstacle {
@@ -178,7 +178,10 @@
             return false;
         };
         let slots = self.eligible_servers(call, Instant::now());
-        let slots: u32 = slots.iter().map(|it| it.with(|entry| entry.slots)).sum();
+        let slots: u32 = slots
+            .iter()
+            .map(|it| it.with_entry(|entry| entry.slots))
+            .sum();
         let capacity = f64::from(slots) * call.hold_time().as_secs_f64() * 1_000.0
             / call.cost.stream_ms.max(1.0);
         let waiting = self.queue.count(&weights) * self.state.peers.vms();
@@ -218,7 +221,7 @@
         let in_flight = server.in_flight() + self.state.peers.in_flight(&server.id);
         let zone = &self.state.settings.availability_zone;
         let is_connected = self.pool.has_idle(server, now);
-        server.with(|entry| Candidate {
+        server.with_entry(|entry| Candidate {
             in_flight,
             slots: entry.slots,
             prompts_wait_ms: server.backlog.wait_ms(now),
@@ -226,7 +229,7 @@
             is_far_late: self.state.peers.is_far_late(),
             is_connected,
             is_short_call: call.request.generation.is_none(),
-            has_failed: server.is_passed_over(now) || call.tried.contains(&server.id),
+            has_failed: server.is_in_backoff(now) || call.tried.contains(&server.id),
         })
     }
 }
--- a/src/gateway/runner_state.rs
+++ b/src/gateway/runner_state.rs
@@ -59,7 +59,7 @@
         let coming = report.coming.iter();
         let coming = coming.filter(|weights| !holds(&usable, weights));
         let (in_memory, on_disk) =
-            server.with(|entry| (entry.in_memory.clone(), entry.on_disk.clone()));
+            server.with_entry(|entry| (entry.in_memory.clone(), entry.on_disk.clone()));
         Some(RunnerView {
             id: server.id.clone(),
             adapters: adapters.chain(coming.cloned()).collect(),
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,7 +1,7 @@
 //! One VM's process in the serving role, from start to end.
 
 use crate::error::Fault;
-use crate::gateway::election::Leading;
+use crate::gateway::election::LeaderElection;
 use crate::gateway::fleet::Incarnation;
 use crate::gateway::gossip::Gossip;
 use crate::gateway::journal::BufferedLog;
@@ -76,7 +76,7 @@
     compio::runtime::spawn(gossip.clone().receive()).detach();
     compio::runtime::spawn(gossip.clone().send_prompts()).detach();
     compio::runtime::spawn(gossip.send()).detach();
-    let leading = Leading::new(state.clone(), store, runners);
+    let leading = LeaderElection::new(state.clone(), store, runners);
     compio::runtime::spawn(leading.clone().keep_membership()).detach();
     compio::runtime::spawn(leading.clone().lead()).detach();
     if let Some(address) = settings.metrics_address {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -5,7 +5,7 @@
 use crate::gateway::crash_suspects::CrashSuspects;
 use crate::gateway::demand::Demand;
 use crate::gateway::directory_updates::{Assembly, DirectoryUpdate};
-use crate::gateway::fleet::{Fleet, Holding, Incarnation, Taken};
+use crate::gateway::fleet::{EntryChange, Fleet, Holding, Incarnation};
 use crate::gateway::log_follower::{FollowerState, Readings, follows_closely};
 use crate::gateway::peers::{DemandRate, Peers, UpdateScope};
 use crate::gateway::speeds::Speeds;
@@ -109,7 +109,7 @@
     }
 
     /// Puts a configuration in force unless it is older than the present one.
-    pub(crate) fn take_configuration(&self, configuration: Configuration) {
+    pub(crate) fn apply_configuration(&self, configuration: Configuration) {
         let mut present = self.configuration.borrow_mut();
         let before = present.as_ref().map_or(0, |present| present.version);
         if present.is_some() && configuration.version <= before {
@@ -159,7 +159,7 @@
 
     /// The news of which VMs tell that follow the log closely for this one; `None` if this VM is
     /// to follow it itself.
-    pub(crate) fn told_news(&self, now: Instant) -> Option<Readings> {
+    pub(crate) fn advertised_readings(&self, now: Instant) -> Option<Readings> {
         // Whoever gives orders has to know what servers hold as soon as they tell.
         if self.fence.get() > 0 || self.follows_closely(now) {
             return None;
@@ -172,7 +172,7 @@
     }
 
     /// Takes over changes of the directory that the VM that follows it passed on.
-    pub(super) fn take_directory_news(&self, news: DirectoryUpdate, now: Instant) {
+    pub(super) fn apply_directory_update(&self, news: DirectoryUpdate, now: Instant) {
         let is_shaken = news.is_shaken;
         let end = self.following.directory_end.get();
         let changes = self.assembly.borrow_mut().take(news, end);
@@ -189,14 +189,14 @@
             "directory told"
         );
         let next = changes.next;
-        self.take_directory(changes, now);
+        self.apply_directory_changes(changes, now);
         self.following.note_received_update(next);
-        self.forget_lapsed(now);
+        self.purge_removed(now);
     }
 
     /// Takes changes of the directory over; returns those that others are to be told of, and
     /// whether servers came, left or changed their state.
-    pub(super) fn take_directory(
+    pub(super) fn apply_directory_changes(
         &self,
         changes: Changes<ServerChange>,
         now: Instant,
@@ -207,17 +207,17 @@
             match change {
                 ServerChange::Upserted(entry) => {
                     let taken = self.fleet.take(entry.clone());
-                    if taken == Taken::News {
+                    if taken == EntryChange::AvailabilityChanged {
                         has_news = true;
                         info!(server = %entry.id, state = ?entry.state, "server listed");
                     }
-                    if taken > Taken::Renewed {
+                    if taken > EntryChange::Renewed {
                         told.push(ServerChange::Upserted(entry));
                     }
                 }
                 ServerChange::Removed(id) => {
                     has_news |= self.fleet.server(&id).is_some();
-                    self.fleet.lapse(&id, now);
+                    self.fleet.mark_removed(&id, now);
                     // Others may know it still, where this VM alone met another one at its address.
                     told.push(ServerChange::Removed(id));
                 }
@@ -229,14 +229,14 @@
     }
 
     /// Servers whose entry lapsed are gone, at once unless the log itself was away.
-    pub(super) fn forget_lapsed(&self, now: Instant) {
+    pub(super) fn purge_removed(&self, now: Instant) {
         let is_shaken = self.following.is_shaken(now);
         let limit = if is_shaken {
             LAPSE_LIMIT
         } else {
             Duration::ZERO
         };
-        for id in self.fleet.forget_lapsed(limit, now) {
+        for id in self.fleet.purge_removed(limit, now) {
             info!(server = %id, is_shaken, "server gone");
         }
     }
@@ -255,7 +255,7 @@
     }
 
     /// Counts a request that waits for weights.
-    pub(crate) fn wait_for(self: &Rc<Self>, weights: &Weights) -> WaitingGuard {
+    pub(crate) fn count_waiting(self: &Rc<Self>, weights: &Weights) -> WaitingGuard {
         let mut waiting = self.waiting.borrow_mut();
         *waiting.entry(weights.clone()).or_default() += 1;
         self.peers.trigger_update(UpdateScope::Leader);
--- a/src/gateway/swaps.rs
+++ b/src/gateway/swaps.rs
@@ -178,9 +178,9 @@
         let model = self.model(load);
         let view = &self.planning.runners[runner];
         let load_ms = if view.in_memory.contains(&model.name) {
-            model.warm_ms
+            model.warm_load_ms
         } else if view.on_disk.contains(&model.name) {
-            model.disk_ms
+            model.disk_load_ms
         } else {
             model.load_ms
         };
--- a/src/gateway/tests/decisions.rs
+++ b/src/gateway/tests/decisions.rs
@@ -6,7 +6,7 @@
 use crate::gateway::crash_suspects::CrashSuspects;
 use crate::gateway::demand::Demand;
 use crate::gateway::events::EventBuffer;
-use crate::gateway::fleet::{Fleet, Taken};
+use crate::gateway::fleet::{EntryChange, Fleet};
 use crate::gateway::load_limit::LoadRateLimit;
 use crate::gateway::watch::retry_pause;
 use crate::gateway::{
@@ -250,19 +250,22 @@
     let fleet = Fleet::default();
     let now = Instant::now();
     let limit = Duration::from_secs(2);
-    assert_eq!(fleet.take(entry("i", ServerState::Ready)), Taken::News);
+    assert_eq!(
+        fleet.take(entry("i", ServerState::Ready)),
+        EntryChange::AvailabilityChanged
+    );
     let server = fleet.server("i").expect("the entry was just added");
-    fleet.lapse("i", now);
+    fleet.mark_removed("i", now);
     assert!(!server.is_listed_ready());
     assert!(
         fleet
-            .forget_lapsed(limit, now + Duration::from_secs(1))
+            .purge_removed(limit, now + Duration::from_secs(1))
             .is_empty()
     );
     fleet.take(entry("i", ServerState::Ready));
     assert!(server.is_listed_ready());
-    fleet.lapse("i", now);
-    let gone = fleet.forget_lapsed(limit, now + Duration::from_secs(3));
+    fleet.mark_removed("i", now);
+    let gone = fleet.purge_removed(limit, now + Duration::from_secs(3));
     assert_eq!(gone, ["i"]);
     assert!(fleet.server("i").is_none());
 }
@@ -349,7 +352,7 @@
     }];
     before.note_leader_view(leader_view.to_vec(), now);
     before.backlog.note(50.0, now);
-    let _in_flight = before.enter("m".into());
+    let _in_flight = before.track_in_flight("m".into());
     let restarted = Entry {
         started_ms: 2_000,
         holdings: Vec::new(),
@@ -357,7 +360,7 @@
     };
     assert_eq!(
         fleet.take(restarted),
-        Taken::News,
+        EntryChange::AvailabilityChanged,
         "a restarted server is a new one"
     );
     let after = fleet.server("i").expect("the new run was added");
@@ -388,12 +391,12 @@
             sequence,
             ..entry("i", ServerState::Ready)
         };
-        assert_eq!(fleet.take(outdated), Taken::Renewed);
+        assert_eq!(fleet.take(outdated), EntryChange::Renewed);
         let server = fleet.server("i").expect("the server is listed");
         assert!(!server.is_listed_ready());
     }
-    fleet.lapse("i", now);
-    fleet.forget_lapsed(Duration::ZERO, now);
+    fleet.mark_removed("i", now);
+    fleet.purge_removed(Duration::ZERO, now);
     // The same holds after the server has been removed.
     fleet.take(entry("i", ServerState::Ready));
     assert!(fleet.server("i").is_none());
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -106,7 +106,10 @@
 /// Applies changes and returns how many of them are forwarded to the zone.
 fn apply(state: &State, items: Vec<ServerChange>) -> usize {
     let changes = Changes { items, next: 0 };
-    state.take_directory(changes, Instant::now()).0.len()
+    state
+        .apply_directory_changes(changes, Instant::now())
+        .0
+        .len()
 }
 
 #[test]
@@ -126,7 +129,7 @@
     let state = state();
     apply(&state, vec![listed(1)]);
     // This VM alone found another server at the address and dropped the entry.
-    state.fleet.lapse("i-1", Instant::now());
-    state.forget_lapsed(Instant::now());
+    state.fleet.mark_removed("i-1", Instant::now());
+    state.purge_removed(Instant::now());
     assert_eq!(apply(&state, vec![ServerChange::Removed("i-1".into())]), 1);
 }
--- a/src/gateway/tests/order_dispatch.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -134,8 +134,8 @@
         name: name.into(),
         weights_mb: ROOM_MB,
         load_ms: 300,
-        warm_ms: 300,
-        disk_ms: 300,
+        warm_load_ms: 300,
+        disk_load_ms: 300,
         adapters: 0,
         adapter_mb: 0.0,
     }
@@ -177,13 +177,13 @@
         items: vec![change],
         next: 0,
     };
-    state.take_directory(changes, Instant::now());
+    state.apply_directory_changes(changes, Instant::now());
 }
 
 /// A holder of the claim with one listed runner.
 fn holder(control: &Control) -> (Rc<State>, Rc<Ordering<Control>>) {
     let state = Rc::new(state());
-    state.take_configuration(configuration());
+    state.apply_configuration(configuration());
     take(&state, ServerChange::Upserted(entry()));
     let ordering = Ordering::new(state.clone(), control.clone());
     ordering.start(1);
@@ -228,11 +228,11 @@
         model: "b".into(),
         adapter: None,
     };
-    let _waiting = state.wait_for(&wanted);
+    let _waiting = state.count_waiting(&wanted);
     tick(&ordering, 10).await;
     assert_eq!(control.0.borrow().orders, 1, "the drop is under way");
     take(&state, ServerChange::Removed(SERVER.into()));
-    state.forget_lapsed(Instant::now());
+    state.purge_removed(Instant::now());
     assert!(state.fleet.server(SERVER).is_none());
     tick(&ordering, 2).await;
     tick(&ordering, 5).await;
@@ -258,7 +258,7 @@
         model: "b".into(),
         adapter: None,
     };
-    let _waiting = state.wait_for(&wanted);
+    let _waiting = state.count_waiting(&wanted);
     tick(&ordering, 10).await;
     control.0.borrow_mut().missed = missed;
     let mut is_known = true;
--- a/src/gateway/tests/pages.rs
+++ b/src/gateway/tests/pages.rs
@@ -1,6 +1,6 @@
 //! The pages show what the code has.
 
-use crate::gateway::metrics::ROWS;
+use crate::gateway::metrics::METRIC_DESCRIPTIONS;
 
 /// The sources of the serving role with its adapter.
 const SOURCES: [&str; 2] = ["src/gateway", "src/platform"];
@@ -8,7 +8,7 @@
 #[test]
 fn metrics_page_shows_every_metric() {
     let page = std::fs::read_to_string("docs/METRICS.md").expect("the page exists");
-    for row in ROWS {
+    for row in METRIC_DESCRIPTIONS {
         let line = format!("| `rattanjunction_{}` | {} |", row.name, row.meaning);
         assert!(page.contains(&line), "{line}");
     }
--- a/src/gateway/tests/planning.rs
+++ b/src/gateway/tests/planning.rs
@@ -16,8 +16,8 @@
         name: name.into(),
         weights_mb: 72_700.0,
         load_ms: 4_200,
-        warm_ms: 630,
-        disk_ms: 840,
+        warm_load_ms: 630,
+        disk_load_ms: 840,
         adapters,
         adapter_mb: 66.0,
     };
--- a/src/gateway/tests/speeds.rs
+++ b/src/gateway/tests/speeds.rs
@@ -12,8 +12,8 @@
         name: name.into(),
         weights_mb,
         load_ms: 9_000,
-        warm_ms: 1_100,
-        disk_ms: 2_400,
+        warm_load_ms: 1_100,
+        disk_load_ms: 2_400,
         adapters: 0,
         adapter_mb: 12.0,
     }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -66,7 +66,7 @@
             let read = match next {
                 None => self.store.newest().await,
                 Some(from) => {
-                    let advertised = self.state.told_news(read_at);
+                    let advertised = self.state.advertised_readings(read_at);
                     let wait = advertised.map_or(CONFIGURATION_WAIT, |_| Duration::ZERO);
                     self.store.changes(from, wait).await
                 }
@@ -82,7 +82,7 @@
                     let following = &self.state.following;
                     let before = following.configuration.replace(Some(reading));
                     for configuration in changes.items {
-                        self.state.take_configuration(configuration);
+                        self.state.apply_configuration(configuration);
                     }
                     let is_change = before.is_some_and(|before| before.news < reading.news);
                     if is_change && self.state.follows_closely(reading.at) {
@@ -140,7 +140,7 @@
                     self.wait_before_retry(failures).await;
                 }
             }
-            self.state.forget_lapsed(Instant::now());
+            self.state.purge_removed(Instant::now());
         }
     }
 
@@ -172,13 +172,13 @@
         has_update: impl Fn(Readings) -> bool,
     ) {
         // If the log is behind the advertised offset, another read at once would return no more.
-        let advertised = self.state.told_news(Instant::now());
+        let advertised = self.state.advertised_readings(Instant::now());
         let is_behind = advertised.is_some_and(&has_update);
         let interval = if is_behind { BEHIND_INTERVAL } else { interval };
         compio::time::sleep_until(read_at + interval).await;
         while read_at.elapsed() < BACKGROUND_INTERVAL {
-            self.state.forget_lapsed(Instant::now());
-            match self.state.told_news(Instant::now()) {
+            self.state.purge_removed(Instant::now());
+            match self.state.advertised_readings(Instant::now()) {
                 Some(reads) if !has_update(reads) => compio::time::sleep(UPDATE_POLL).await,
                 _ => return,
             }
@@ -193,7 +193,7 @@
         if from.is_none() {
             changes.items.extend(self.removed_servers(&changes.items));
         }
-        let (relevant, has_news) = self.state.take_directory(changes, now);
+        let (relevant, has_news) = self.state.apply_directory_changes(changes, now);
         let following = &self.state.following;
         following.directory_end.set(Some(next));
         let before = following.directory.get();
@@ -236,7 +236,8 @@
             })
             .collect();
         let servers = self.state.fleet.servers().into_iter();
-        let removed = servers.filter(|server| !ids.contains(&server.id) && !server.is_lapsed());
+        let removed =
+            servers.filter(|server| !ids.contains(&server.id) && !server.is_marked_removed());
         removed
             .map(|server| ServerChange::Removed(server.id.clone()))
             .collect()
@@ -257,7 +258,7 @@
         let waits_for_others =
             || self.state.fence.get() == 0 && self.state.zone_rank() >= MAX_RETRYING_VMS;
         while waits_for_others() && failed_at.elapsed() < MAX_OTHERS_PAUSE {
-            if self.state.told_news(Instant::now()).is_some() {
+            if self.state.advertised_readings(Instant::now()).is_some() {
                 return;
             }
             compio::time::sleep(UPDATE_POLL).await;
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -211,7 +211,7 @@
     type Command = KeyCommand;
     type Verdict = KeyVerdict;
     // The log retains a key's records for longer than the key may be used.
-    const OUTLIVES_RETENTION: bool = false;
+    const REQUIRES_SNAPSHOT: bool = false;
 
     fn apply(&mut self, position: Position, _writer: &Name, command: KeyCommand) -> KeyVerdict {
         self.sweep(position.at_ms);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,6 +67,6 @@
     PlacementRule, PlainService, Priority, Problem, RoutingRule, Rules,
 };
 pub use reference::{FIELDS, FieldRow};
-pub use replay::{Judged, Replay};
+pub use replay::{CommandVerdict, Replay};
 pub use server::serve;
 pub use shutdown::{Shutdown, WorkGuard};
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -212,7 +212,7 @@
         if live * 2 < listed {
             warnings.push(format!("only {live} of {listed} listed peers are alive"));
         }
-        if !control.is_known() {
+        if !control.has_usable_state() {
             warnings.push("no usable configuration has been received yet".to_owned());
         }
         warnings
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -186,7 +186,7 @@
 
     /// Begins with an empty state, if nobody knows the one that was in force.
     async fn start_anew(&self) -> Result<(), Failure> {
-        if self.control.is_known() || self.membership.most_advanced_peer(0).is_some() {
+        if self.control.has_usable_state() || self.membership.most_advanced_peer(0).is_some() {
             let message = "the configuration in force is known; publish without starting anew";
             return Err(Failure::new(Kind::Conflict, message));
         }
@@ -281,7 +281,7 @@
                 .inventory
                 .runners()
                 .map(|server| {
-                    let book = control.book(&server.name);
+                    let ledger = control.ledger(&server.name);
                     let runner = self.fleet.runner(&server.name);
                     let load = runner.as_ref().and_then(|runner| {
                         runner.report(|report| (report.running, report.waiting))
@@ -294,8 +294,8 @@
                         "running": load.map(|(running, _)| running),
                         "waiting": load.map(|(_, waiting)| waiting),
                         "room_mib": server.weights_room_mib(),
-                        "taken_mib": book.taken_mib(),
-                        "copies": book.copies.iter().map(|(artifact, copy)| json!({
+                        "taken_mib": ledger.taken_mib(),
+                        "copies": ledger.copies.iter().map(|(artifact, copy)| json!({
                             "artifact": artifact.to_string(), "mib": copy.mib,
                             "state": format!("{:?}", copy.state).to_lowercase(),
                         })).collect::<Vec<_>>(),
@@ -313,11 +313,11 @@
                 .iter()
                 .map(|model| {
                     let on: Vec<&Name> = control
-                        .books
+                        .ledgers
                         .iter()
-                        .filter(|(_, book)| {
-                            !book.down
-                                && book.copies.iter().any(|(artifact, copy)| {
+                        .filter(|(_, ledger)| {
+                            !ledger.down
+                                && ledger.copies.iter().any(|(artifact, copy)| {
                                     artifact.model == model.name
                                         && artifact.adapter.is_none()
                                         && artifact.version == model.version
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -73,10 +73,10 @@
     let configuration = configuration::decode(text.as_bytes()).expect("it is valid");
     let route = configuration.route("h", "/p/x").expect("it is there");
     assert_eq!(route.kind, RouteKind::Streaming);
-    assert!(route.is_repeatable());
+    assert!(route.is_retryable());
     assert_eq!(route.targets.len(), 2);
     let (_, engine) = configuration.engines().next().expect("one has models");
-    assert_eq!(engine.model("m").map(|it| it.disk_ms), Some(840));
+    assert_eq!(engine.model("m").map(|it| it.disk_load_ms), Some(840));
 }
 
 #[test]
--- a/src/server.rs
+++ b/src/server.rs
@@ -21,7 +21,7 @@
 use crate::router::Router;
 use crate::service_registry::{Service, ServiceRegistry};
 use crate::shutdown::Shutdown;
-use crate::snapshot_writer::Keeper;
+use crate::snapshot_writer::SnapshotWriter;
 use crate::stream::{FoldedState, Stream};
 use crate::wire::{Heartbeat, ModelDemand};
 use compio::net::TcpListener;
@@ -107,7 +107,8 @@
     }
 
     fn folded_state(&self, after_offset: u64) -> Option<FoldedState> {
-        let is_usable = self.control.is_known() && self.control.next_offset() > after_offset;
+        let is_usable =
+            self.control.has_usable_state() && self.control.next_offset() > after_offset;
         is_usable.then(|| self.control.state())
     }
 
@@ -140,10 +141,10 @@
     start_peers(&registry, &config, boot, peers);
     start_fleet_updates(&registry);
     start_append_pacing(&registry, config.key_appends_per_s);
-    let keeper = Keeper::new(&registry, config.log_retention_ms);
+    let keeper = SnapshotWriter::new(&registry, config.log_retention_ms);
     compio::runtime::spawn(keeper.run()).detach();
     compio::runtime::spawn(registry.find::<Planner>().run()).detach();
-    compio::runtime::spawn(registry.find::<Router>().keep_room()).detach();
+    compio::runtime::spawn(registry.find::<Router>().run_batch_yields()).detach();
 
     let shutdown: Rc<Shutdown> = registry.find();
     let operator_shutdown = Rc::new(Shutdown::default());
--- a/src/snapshot_writer.rs
+++ b/src/snapshot_writer.rs
@@ -13,14 +13,14 @@
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The snapshot keeper of one VM; the first of the live VMs writes.
-pub(crate) struct Keeper {
+pub(crate) struct SnapshotWriter {
     control: Rc<ControlStream>,
     membership: Rc<Membership>,
     interval: Duration,
     started_at: Instant,
 }
 
-impl Keeper {
+impl SnapshotWriter {
     /// A keeper for a log that keeps records for `retention_ms`.
     pub(crate) fn new(registry: &ServiceRegistry, retention_ms: u64) -> Self {
         Self {
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -172,7 +172,7 @@
     }
 
     /// Whether the state may be used: folded to the log's end once, or given by a peer.
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn has_usable_state(&self) -> bool {
         self.ready.get() || self.given.get()
     }
 
@@ -561,7 +561,7 @@
     /// Folds a page; false if it leaves the reader behind records that are dropped.
     async fn take_page(&self, page: Page) -> bool {
         if page.first > self.next_offset() {
-            if F::OUTLIVES_RETENTION {
+            if F::REQUIRES_SNAPSHOT {
                 // What this VM knows may be outdated by any of the dropped records.
                 self.ready.set(false);
                 self.given.set(false);
