--- a/src/client.rs
+++ b/src/client.rs
@@ -1,7 +1,7 @@
-//! Bare HTTP/1 connections to backend servers, with a small pool of idle ones.
+//! HTTP/1 connections to other processes without automatic retries, and a pool of idle ones.
 //!
-//! A caller of this module decides itself whether a request may be sent again:
-//! [`SendError`] tells whether the request can have left the process.
+//! Users of this module decide whether to retry a request: [`SendError`] says whether the
+//! request may have been sent.
 
 use crate::http::Body;
 use compio::net::TcpStream;
@@ -17,23 +17,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Idle connections kept for one address.
+/// The largest number of idle connections that are kept for one address.
 const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// Why no answer head came.
+/// The reason why no response head was received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendError {
-    /// Nothing of the request left the process.
+    /// No part of the request was sent.
     NotSent,
-    /// The request may have arrived.
+    /// The request may have reached the server.
     MaybeSent,
 }
 
-/// One connection to a backend server, used for one request at a time.
+/// A connection to a server, used for one request at a time.
 pub struct Connection {
     sender: SendRequest<Body>,
     address: SocketAddr,
-    /// Ends the connection's driver, and so the connection, when dropped.
+    /// The task that drives the connection; dropping it closes the connection.
     driver: Option<JoinHandle<()>>,
 }
 
@@ -59,14 +59,16 @@
         Ok(connection)
     }
 
-    /// Opens a new connection that is cut as soon as it is dropped, also in mid-answer.
+    /// Opens a new connection that is closed as soon as it is dropped, even in the middle of a
+    /// response.
     ///
-    /// Bytes that stay unacknowledged for `unacked_limit` break it: a path may go silent.
+    /// The connection fails if sent bytes stay unacknowledged for `unacked_limit`, which detects a
+    /// network path that drops packets without an error.
     ///
     /// # Errors
     ///
     /// Fails with [`SendError::NotSent`] when the address does not accept within `timeout`.
-    pub(crate) async fn open_owned(
+    pub(crate) async fn open_abort_on_drop(
         address: SocketAddr,
         timeout: Duration,
         unacked_limit: Duration,
@@ -83,7 +85,7 @@
             .await
             .map_err(|_elapsed| SendError::NotSent)?
             .map_err(|_refused| SendError::NotSent)?;
-        // A slow loss of these options only costs latency.
+        // A failure to set the options only costs latency.
         let _ = stream.set_nodelay(true);
         if unacked_limit.is_some() {
             let _ = SockRef::from(&stream).set_tcp_user_timeout(unacked_limit);
@@ -92,7 +94,7 @@
             .await
             .map_err(|_closed| SendError::NotSent)?;
         let driver = compio::runtime::spawn(async move {
-            // The sender reports a broken connection to whoever waits on it.
+            // The sender reports a broken connection to the code that awaits a response.
             let _ = driver.await;
         });
         Ok(Self {
@@ -102,21 +104,22 @@
         })
     }
 
-    /// Whether another request can be sent at once.
+    /// Whether the connection can send another request immediately.
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether the other end is gone.
+    /// Whether the connection is closed.
     pub(crate) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends one request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Tells whether the request can have left the process.
+    /// Fails with [`SendError::NotSent`] if no part of the request was sent, and with
+    /// [`SendError::MaybeSent`] otherwise.
     pub async fn send(&mut self, request: Request<Body>) -> Result<Response<Incoming>, SendError> {
         self.sender
             .try_send_request(request)
@@ -127,26 +130,28 @@
             })
     }
 
-    /// The address at the other end.
+    /// The address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Whether a process at the address refuses connections; false if it is unknown.
+/// Whether connections to the address are refused, so that no process listens there.
+///
+/// Returns false if the attempt fails for another reason.
 pub(crate) async fn is_refused(address: SocketAddr) -> bool {
     let connected = TcpStream::connect(address).await;
     connected.is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-/// Idle connections by address.
+/// A pool of idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Pool {
-    /// Takes an idle connection, if one is ready.
+    /// Takes an idle connection to `address` that is ready for a request, if there is one.
     pub fn take(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
@@ -158,7 +163,7 @@
         None
     }
 
-    /// Gives back a connection whose answer was read to its end.
+    /// Returns a connection to the pool after its response was read completely.
     pub fn put(&self, connection: Connection) {
         if connection.sender.is_closed() {
             return;
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Drops every idle connection to `address`, such as after one went silent.
+    /// Drops all idle connections to `address`, for example after one stopped responding.
     pub fn clear(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -186,7 +186,7 @@
                 let message = format!("the body is larger than {limit_bytes} bytes");
                 (Kind::TooLarge, message)
             }
-            Ok(Err(ReadError::Cut)) => (Kind::Malformed, "the body broke off".to_owned()),
+            Ok(Err(ReadError::Disconnected)) => (Kind::Malformed, "the body broke off".to_owned()),
             Err(_elapsed) => (Kind::BodyTimeout, "the body did not arrive".to_owned()),
         };
         Err(Failure::new(kind, message))
@@ -352,7 +352,7 @@
         }
         match step {
             Ok(_) => {
-                sender.end_whole();
+                sender.mark_complete();
                 self.end("complete", None);
             }
             Err(failure) => {
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP serving over `hyper` and `compio`, and the body type of all answers.
+//! HTTP/1 serving with `hyper` on `compio`, and the body type of requests and responses.
 
 use crate::shutdown::Shutdown;
 use crate::write_stall::{StallWatch, Watched};
@@ -24,60 +24,61 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// How long a client may take to send its request head.
+/// The default time a client may take to send a request head.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 /// The largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Connections that may wait to be accepted.
+/// The length of the queue of connections that are not accepted yet.
 const BACKLOG: i32 = 1_024;
-/// The pause after a failed accept, such as one for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a closing listener, or an idle connection, still takes what was under way to it.
+/// The delay before the next accept after one failed, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// How long a closing listener still accepts connections, and a closing idle connection still
+/// accepts requests, that were in flight when the shutdown began.
 const CLOSE_LINGER: Duration = Duration::from_millis(100);
-/// How long a client may take nothing of what is written to it.
-const WRITE_STALL: Duration = Duration::from_secs(20);
-/// How often a connection is looked at for a stalled write.
-const STALL_LOOK: Duration = Duration::from_secs(5);
+/// How long a write may make no progress before the connection is closed.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(20);
+/// The interval at which a connection is checked for a stalled write.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// An answer's or a request's body.
+/// The body of a request or a response.
 #[derive(Debug)]
 pub enum Body {
-    /// A body held whole, taken when sent.
+    /// A body that is completely in memory; `None` if it is empty or already sent.
     Full(Option<Bytes>),
-    /// Chunks as they come; an error item cuts the connection.
+    /// Chunks that are sent as they arrive; an error item aborts the connection.
     Stream(mpsc::Receiver<io::Result<Bytes>>),
-    /// Chunks of an answer that ends cleanly only once it was declared whole.
+    /// A streamed response that ends cleanly only if it was marked as complete.
     Answer(AnswerBody),
 }
 
-/// The receiving half of an answer under way.
+/// The receiving half of a streamed response.
 #[derive(Debug)]
 pub struct AnswerBody {
     chunks: mpsc::Receiver<Bytes>,
-    whole: Rc<Cell<bool>>,
-    /// The task that makes the answer; ends when the body is dropped.
-    maker: Option<JoinHandle<()>>,
+    is_complete: Rc<Cell<bool>>,
+    /// The task that produces the response; cancelled when the body is dropped.
+    producer: Option<JoinHandle<()>>,
 }
 
-/// The sending half of an answer under way.
+/// The sending half of a streamed response.
 ///
-/// Dropping it before [`AnswerSender::end_whole`] cuts the connection, whatever
-/// the reason: an answer that is not whole never looks as if it were.
+/// If it is dropped without a call of [`AnswerSender::mark_complete`], for whatever reason, the
+/// connection is aborted, so that a client never mistakes a truncated response for a complete one.
 #[derive(Debug)]
 pub struct AnswerSender {
     chunks: mpsc::Sender<Bytes>,
-    whole: Rc<Cell<bool>>,
+    is_complete: Rc<Cell<bool>>,
 }
 
 impl AnswerSender {
-    /// Sends a chunk; false once the client is gone.
+    /// Sends a chunk; returns false if the client has disconnected.
     pub async fn send(&mut self, chunk: Bytes) -> bool {
         self.chunks.send(chunk).await.is_ok()
     }
 
-    /// Declares that every chunk was sent.
-    pub fn end_whole(self) {
-        self.whole.set(true);
+    /// Ends the response cleanly, after its last chunk.
+    pub fn mark_complete(self) {
+        self.is_complete.set(true);
     }
 }
 
@@ -85,7 +86,7 @@
     fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         self.chunks.poll_next_unpin(cx).map(|chunk| match chunk {
             Some(chunk) => Some(Ok(Frame::data(chunk))),
-            None if self.whole.get() => None,
+            None if self.is_complete.get() => None,
             None => Some(Err(io::ErrorKind::ConnectionAborted.into())),
         })
     }
@@ -97,43 +98,45 @@
         Self::Full(None)
     }
 
-    /// A body held whole.
+    /// A body that is completely in memory.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Some(bytes.into()))
     }
 
-    /// A body of chunks sent through the returned sender.
+    /// A streamed body whose chunks are sent through the returned sender.
     ///
-    /// Dropping the sender ends the body cleanly; sending an error cuts it.
+    /// Dropping the sender ends the body cleanly; sending an error aborts the connection.
     pub fn channel(capacity: usize) -> (mpsc::Sender<io::Result<Bytes>>, Self) {
         let (sender, receiver) = mpsc::channel(capacity);
         (sender, Self::Stream(receiver))
     }
 
-    /// An answer of chunks that ends cleanly only once it is declared whole.
+    /// A streamed response that ends cleanly only if its sender marks it as complete.
+    ///
+    /// `capacity` is the number of chunks that are buffered.
     pub fn answer(capacity: usize) -> (AnswerSender, Self) {
         let (sender, receiver) = mpsc::channel(capacity);
-        let whole = Rc::new(Cell::new(false));
+        let is_complete = Rc::new(Cell::new(false));
         let sender = AnswerSender {
             chunks: sender,
-            whole: whole.clone(),
+            is_complete: is_complete.clone(),
         };
         let body = AnswerBody {
             chunks: receiver,
-            whole,
-            maker: None,
+            is_complete,
+            producer: None,
         };
         (sender, Self::Answer(body))
     }
 
-    /// An answer made by a task that is cancelled once its client is gone.
-    pub(crate) fn answer_by(
+    /// A streamed response produced by a task that is cancelled when the client disconnects.
+    pub(crate) fn answer_from_task(
         capacity: usize,
         spawn: impl FnOnce(AnswerSender) -> JoinHandle<()>,
     ) -> Self {
         let (sender, mut body) = Self::answer(capacity);
         if let Self::Answer(answer) = &mut body {
-            answer.maker = Some(spawn(sender));
+            answer.producer = Some(spawn(sender));
         }
         body
     }
@@ -168,9 +171,9 @@
     }
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json_response(status: StatusCode, value: &impl Serialize) -> Response<Body> {
-    let bytes = serde_json::to_vec(value).expect("answers serialize");
+    let bytes = serde_json::to_vec(value).expect("the value serializes to JSON");
     let mut response = Response::new(Body::full(bytes));
     *response.status_mut() = status;
     response.headers_mut().insert(
@@ -180,33 +183,33 @@
     response
 }
 
-/// Why a body was not read.
+/// The reason why a body could not be read.
 #[derive(Debug)]
 pub enum ReadError {
     /// The body is larger than the limit.
     TooLarge,
-    /// The connection broke.
-    Cut,
+    /// The connection was lost before the end of the body.
+    Disconnected,
 }
 
-/// Reads a body whole.
+/// Reads a whole body into memory.
 ///
 /// # Errors
 ///
-/// Fails when the body is longer than `limit_bytes` or the connection breaks.
+/// Fails if the body is longer than `limit_bytes` or the connection is lost.
 pub async fn read_body(body: Incoming, limit_bytes: usize) -> Result<Bytes, ReadError> {
     match Limited::new(body, limit_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(ReadError::TooLarge),
-        Err(_) => Err(ReadError::Cut),
+        Err(_) => Err(ReadError::Disconnected),
     }
 }
 
-/// Listens at an address, with room for bursts of new connections.
+/// Binds a listener with a backlog that is long enough for bursts of new connections.
 ///
 /// # Errors
 ///
-/// Fails when the address is taken or not one of this machine's.
+/// Fails if the address is in use or does not belong to this machine.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4().await?
@@ -218,20 +221,22 @@
     socket.listen(BACKLOG).await
 }
 
-/// Accepts connections until `shutdown` and serves each in a task of its own.
+/// Accepts connections until `shutdown` begins and serves each in its own task.
 ///
-/// Connections finish the request they are at; `shutdown` counts them.
+/// A connection completes its current request during a shutdown; `shutdown` counts the open
+/// connections.
 pub async fn serve<H, F>(listener: TcpListener, shutdown: Rc<Shutdown>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    serve_patiently(listener, shutdown, || HEADER_TIMEOUT, handler).await;
+    serve_with_head_timeout(listener, shutdown, || HEADER_TIMEOUT, handler).await;
 }
 
-/// Like [`serve`]; `head_timeout` tells, for each connection, how long a client may be idle
-/// or take to send a request head.
-pub(crate) async fn serve_patiently<T, H, F>(
+/// Like [`serve`], with the time that a client may be idle or take to send a request head.
+///
+/// `head_timeout` is called once for each connection.
+pub(crate) async fn serve_with_head_timeout<T, H, F>(
     listener: TcpListener,
     shutdown: Rc<Shutdown>,
     head_timeout: T,
@@ -248,20 +253,20 @@
             Either::Left((Ok((stream, _)), _)) => {
                 spawn_connection(stream, shutdown.clone(), head_timeout(), handler.clone());
             }
-            Either::Left((Err(_), _)) => compio::time::sleep(ACCEPT_PAUSE).await,
+            Either::Left((Err(_), _)) => compio::time::sleep(ACCEPT_RETRY_DELAY).await,
             Either::Right(_) => break,
         }
     }
-    // Who had connected before the listener closes is still answered.
-    let linger = async {
+    // Connections that were established before the listener closes are still served.
+    let accept_pending = async {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
                 spawn_connection(stream, shutdown.clone(), head_timeout(), handler.clone());
             }
         }
     };
-    // The end of the linger is the expected way out.
-    let _ = compio::time::timeout(CLOSE_LINGER, linger).await;
+    // `accept_pending` never returns, so that a timeout is the normal case.
+    let _ = compio::time::timeout(CLOSE_LINGER, accept_pending).await;
 }
 
 fn spawn_connection<H, F>(
@@ -273,17 +278,17 @@
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    // Counted before its task first runs, so that a drain cannot overlook it.
+    // Counted before the task first runs, so that a drain cannot miss the connection.
     let guard = shutdown.enter();
     compio::runtime::spawn(async move {
         let _guard = guard;
-        // A slow loss of this option only costs latency.
+        // A failure to set the option only costs latency.
         let _ = stream.set_nodelay(true);
-        let leaving = shutdown.clone();
+        let shutdown_state = shutdown.clone();
         let service = service_fn(move |request| {
             let answer = handler(request);
-            let leaving = leaving.clone();
-            async move { Ok::<_, Infallible>(close_if_leaving(&leaving, answer.await)) }
+            let shutdown_state = shutdown_state.clone();
+            async move { Ok::<_, Infallible>(close_if_leaving(&shutdown_state, answer.await)) }
         });
         let (stream, watch) = Watched::new(HyperStream::new_plain(stream));
         let connection = http1::Builder::new()
@@ -295,23 +300,25 @@
             let mut connection = pin!(connection);
             let stop = async {
                 shutdown.wait().await;
-                // Answers ask to close by now; only idle connections are left.
+                // Responses carry `Connection: close` by now, so that only idle connections are
+                // left.
                 compio::time::sleep(CLOSE_LINGER).await;
             };
             let stop = pin!(stop);
             if let Either::Right(((), _)) = select(connection.as_mut(), stop).await {
                 connection.as_mut().graceful_shutdown();
-                // The client sees a broken connection by itself.
+                // The client notices a broken connection itself.
                 let _ = connection.await;
             }
         };
-        // A client that takes nothing for too long is cut.
-        select(pin!(serving), pin!(stalled(watch))).await;
+        // A connection whose client has stopped reading is closed.
+        select(pin!(serving), pin!(wait_for_stall(watch))).await;
     })
     .detach();
 }
 
-/// Asks clients of a VM that leaves to use another connection next time.
+/// Adds `Connection: close` to responses of a VM that is shutting down, so that clients open
+/// their next connection elsewhere.
 fn close_if_leaving(shutdown: &Shutdown, mut response: Response<Body>) -> Response<Body> {
     if shutdown.is_leaving() {
         let close = header::HeaderValue::from_static("close");
@@ -320,8 +327,9 @@
     response
 }
 
-async fn stalled(watch: StallWatch) {
-    while watch.stalled_for() < WRITE_STALL {
-        compio::time::sleep(STALL_LOOK).await;
+/// Returns when a write on the connection has made no progress for [`WRITE_STALL_TIMEOUT`].
+async fn wait_for_stall(watch: StallWatch) {
+    while watch.stalled_for() < WRITE_STALL_TIMEOUT {
+        compio::time::sleep(STALL_CHECK_INTERVAL).await;
     }
 }
