--- a/src/error.rs
+++ b/src/error.rs
@@ -1,23 +1,23 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! The error kinds and the HTTP response of each.
 
 use crate::http::{Body, json_response};
 use hyper::{Response, StatusCode, header};
 use serde_json::json;
 use std::fmt;
 
-/// Whether a request ran, as far as the system knows.
+/// Whether a request was executed, as far as the system knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ran {
-    /// The request did not run and never will.
+    /// The request was not executed and will not be.
     No,
-    /// The outcome is unknown; only non-idempotent calls end this way.
+    /// The request may have been executed; only possible for non-idempotent calls.
     Unknown,
-    /// The request ran, in whole or in part.
+    /// The request was executed, completely or in part.
     Yes,
 }
 
 impl Ran {
-    /// The word used in answers.
+    /// The value of the `ran` field of error responses.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::No => "no",
@@ -27,63 +27,63 @@
     }
 }
 
-/// Why a request was not answered in full.
+/// The reason why a request failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Kind {
     /// The request's body did not arrive in time.
     BodyTimeout,
-    /// A conflicting change of the configuration was accepted first.
+    /// Another change of the configuration was accepted first.
     Conflict,
     /// The deadline cannot be met, or has passed.
     Deadline,
-    /// Every attempt ended in a broken stream.
+    /// The response stream broke on every attempt.
     Interrupted,
-    /// The inventory breaks a rule or does not fit.
+    /// The inventory violates a rule or does not fit the runners' memory.
     InvalidInventory,
-    /// The idempotency key is older than the kept window or lies in the future.
+    /// The idempotency key is older than the retention window or lies in the future.
     KeyExpired,
-    /// The idempotency key was used with another body.
+    /// The idempotency key was already used with another request body.
     KeyReused,
     /// A non-idempotent route was called without an idempotency key.
     KeyRequired,
     /// The VM is shutting down.
     Leaving,
-    /// The platform's log does not accept records now.
+    /// The platform's log does not accept records at present.
     LogUnavailable,
-    /// The request is not well formed.
+    /// The request is malformed.
     Malformed,
     /// No route matches the path.
     NotFound,
-    /// A non-idempotent call was sent, and no answer came.
+    /// A non-idempotent call was sent, but no response was received.
     OutcomeUnknown,
-    /// The caller, the model or the system is over its limit.
+    /// The caller, the model or the system has exceeded its limit.
     Overloaded,
-    /// The same request has crashed backend servers before.
+    /// The request has crashed backend servers before.
     Poison,
     /// The body is larger than allowed.
     TooLarge,
-    /// No backend server can take the request now.
+    /// No backend server can accept the request at present.
     Unavailable,
-    /// The API key is not listed.
+    /// The API key is not in the inventory.
     UnknownCaller,
     /// The model is not in the inventory.
     UnknownModel,
 }
 
-/// The answer that belongs to an error kind.
+/// The HTTP response for an error kind.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
-    /// The kind this row is about.
+pub struct ErrorResponse {
+    /// The error kind.
     pub kind: Kind,
     /// The HTTP status.
     pub status: u16,
-    /// The `code` field of the OpenAI-shaped error.
+    /// The `code` field of the OpenAI error object.
     pub code: &'static str,
-    /// The `type` field of the OpenAI-shaped error.
+    /// The `type` field of the OpenAI error object.
     pub class: &'static str,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub ran: Ran,
-    /// When to come back, in seconds.
+    /// The value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
@@ -94,8 +94,8 @@
     class: &'static str,
     ran: Ran,
     retry_after_s: Option<u32>,
-) -> Answer {
-    Answer {
+) -> ErrorResponse {
+    ErrorResponse {
         kind,
         status,
         code,
@@ -108,8 +108,8 @@
 const INVALID: &str = "invalid_request_error";
 const SERVER: &str = "server_error";
 
-/// Every error kind with its answer.
-pub const ANSWERS: &[Answer] = &[
+/// All error kinds with their responses.
+pub const ERROR_RESPONSES: &[ErrorResponse] = &[
     row(
         Kind::BodyTimeout,
         408,
@@ -202,36 +202,36 @@
 ];
 
 impl Kind {
-    /// Looks up the answer of this kind.
+    /// The response for this kind.
     ///
     /// ```
     /// use rattanjunction::Kind;
     /// assert_eq!(Kind::UnknownModel.answer().status, 404);
     /// ```
-    pub fn answer(self) -> Answer {
-        ANSWERS
+    pub fn answer(self) -> ErrorResponse {
+        ERROR_RESPONSES
             .iter()
             .find(|answer| answer.kind == self)
             .copied()
-            .expect("every kind has a row, as tests/errors.rs shows")
+            .expect("every error kind has a row in ERROR_RESPONSES")
     }
 }
 
-/// An error kind with what happened.
+/// A failed request: the error kind and the details for the caller.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// The kind, which decides the answer.
+    /// The error kind, which determines the response.
     pub kind: Kind,
-    /// What happened, for the caller.
+    /// The description of the error for the caller.
     pub message: String,
-    /// Overrides the table where the caller can be told a better time.
+    /// Replaces the kind's `Retry-After` where a better estimate is known.
     pub retry_after_s: Option<u32>,
-    /// Overrides the table where an attempt is known to have run, or not to.
+    /// Replaces the kind's `ran` where it is known whether an attempt was executed.
     pub ran: Option<Ran>,
 }
 
 impl Failure {
-    /// Creates a failure with the answer of the table.
+    /// Creates a failure with the default response of its kind.
     pub fn new(kind: Kind, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -241,21 +241,21 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the `Retry-After` header, in seconds.
     #[must_use]
     pub fn retry_after_s(mut self, seconds: u32) -> Self {
         self.retry_after_s = Some(seconds);
         self
     }
 
-    /// States whether the request ran.
+    /// Sets whether the request was executed.
     #[must_use]
     pub fn ran(mut self, ran: Ran) -> Self {
         self.ran = Some(ran);
         self
     }
 
-    /// The OpenAI-shaped error object.
+    /// The error object in the format of the OpenAI API.
     pub fn to_json(&self) -> serde_json::Value {
         let answer = self.kind.answer();
         json!({"error": {
@@ -266,10 +266,11 @@
         }})
     }
 
-    /// The HTTP answer.
+    /// The HTTP response.
     pub(crate) fn to_response(&self) -> Response<Body> {
         let answer = self.kind.answer();
-        let status = StatusCode::from_u16(answer.status).expect("the table holds valid statuses");
+        let status =
+            StatusCode::from_u16(answer.status).expect("ERROR_RESPONSES has valid status codes");
         let mut response = json_response(status, &self.to_json());
         if let Some(seconds) = self.retry_after_s.or(answer.retry_after_s) {
             response
@@ -288,28 +289,28 @@
 
 impl std::error::Error for Failure {}
 
-/// What a process failed at, for reports to the operator.
+/// The operation at which a process failed, for error reports to the operator.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     /// Reading or checking settings or an inventory.
     Settings,
     /// Binding an address.
     Bind,
-    /// Talking to another process.
+    /// Communicating with another process.
     Exchange,
     /// Setting up logging.
     Logging,
-    /// The other side refused what was asked.
+    /// Sending a request that the other process refused.
     Refused,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Settings => "settings are not valid",
-            Self::Bind => "address cannot be bound",
-            Self::Exchange => "exchange with another process failed",
-            Self::Logging => "logging cannot be set up",
+            Self::Settings => "invalid settings",
+            Self::Bind => "cannot bind the address",
+            Self::Exchange => "communication with another process failed",
+            Self::Logging => "cannot set up logging",
             Self::Refused => "request was refused",
         })
     }
--- a/tests/catalogues.rs
+++ b/tests/catalogues.rs
@@ -1,10 +1,10 @@
-//! The tables of errors and events are whole, and the documents show the same.
+//! Checks that the tables of errors and events are complete and match the pages in `docs/`.
 
 use googletest::prelude::*;
-use rattanjunction::{ANSWERS, EVENTS, Event, Kind};
+use rattanjunction::{ERROR_RESPONSES, EVENTS, Event, Kind};
 use std::collections::HashSet;
 
-/// Every kind; a new one fails to compile in `row_of` until it is added here.
+/// All error kinds.
 const KINDS: [Kind; 19] = [
     Kind::BodyTimeout,
     Kind::Conflict,
@@ -30,15 +30,18 @@
 #[googletest::test]
 fn every_kind_has_one_row() {
     for kind in KINDS {
-        let rows = ANSWERS.iter().filter(|answer| answer.kind == kind).count();
+        let rows = ERROR_RESPONSES
+            .iter()
+            .filter(|answer| answer.kind == kind)
+            .count();
         expect_that!(rows, eq(1), "{kind:?}");
     }
-    expect_that!(ANSWERS.len(), eq(KINDS.len()));
+    expect_that!(ERROR_RESPONSES.len(), eq(KINDS.len()));
 }
 
 #[googletest::test]
-fn a_refusal_that_may_be_sent_again_says_when() {
-    for answer in ANSWERS
+fn retryable_refusals_have_a_retry_time() {
+    for answer in ERROR_RESPONSES
         .iter()
         .filter(|answer| [429, 503].contains(&answer.status))
     {
@@ -47,9 +50,9 @@
 }
 
 #[googletest::test]
-fn errors_page_shows_the_table() {
+fn errors_page_matches_the_table() {
     let page = std::fs::read_to_string("docs/ERRORS.md").expect("the page exists");
-    for answer in ANSWERS {
+    for answer in ERROR_RESPONSES {
         let retry = answer
             .retry_after_s
             .map_or("-".to_owned(), |seconds| seconds.to_string());
@@ -64,7 +67,7 @@
 }
 
 #[googletest::test]
-fn events_have_distinct_numbers_and_the_page_shows_them() {
+fn event_numbers_are_distinct_and_events_page_matches() {
     let page = std::fs::read_to_string("docs/EVENTS.md").expect("the page exists");
     let mut numbers = HashSet::new();
     for row in EVENTS {
