--- a/src/events.rs
+++ b/src/events.rs
@@ -1,75 +1,75 @@
-//! Numbered log events: one line for each decision, one row for each number.
+//! The numbered log events and the catalogue that describes them.
 
 use log::Level;
 use std::fmt;
 
-/// Everything that is logged.
+/// A kind of log event.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Event {
-    /// The process serves.
+    /// The process is ready to serve.
     Started,
-    /// The process is leaving.
+    /// The process has begun to shut down.
     Leaving,
-    /// The process has ended its work.
+    /// The process has finished its shutdown.
     Stopped,
-    /// A revision is in force on this VM.
+    /// A revision took effect on this VM.
     RevisionInForce,
-    /// An operator's publication was accepted or lost.
+    /// An operator's publication was accepted, or rejected because its base was outdated.
     Published,
-    /// A request was given to a runner.
+    /// A request was routed to a runner.
     Routed,
     /// A request was refused.
     Refused,
-    /// A request goes on on another runner.
+    /// A broken stream continues on another runner.
     Resumed,
-    /// A batch request gave its slot to urgent ones.
+    /// A batch request gave up its slot to urgent requests.
     Yielded,
     /// A request ended.
     Answered,
-    /// A call was given to a plain service.
+    /// A call was routed to a backend server of a plain service.
     CallRouted,
-    /// A group of runners was taken over, or the try failed.
+    /// A planner claimed leadership of a group of runners, successfully or not.
     GroupClaimed,
-    /// A load was decided.
+    /// The planner decided to load an artifact.
     LoadPlaced,
-    /// An unload was decided.
+    /// The planner decided to unload an artifact.
     UnloadPlaced,
-    /// An order was settled.
+    /// The outcome of an order was recorded.
     OrderSettled,
-    /// An engine started anew.
+    /// A runner's engine restarted.
     RunnerReset,
-    /// A runner's orders were given up, since it does not answer.
+    /// A runner's open loads were abandoned because it does not answer.
     RunnerDown,
-    /// A runner does not hold a copy any more that nothing of ours unloaded.
+    /// A runner lost a copy without an order to unload it.
     CopyLost,
-    /// A runner is not answering, or answers again.
+    /// A runner stopped answering, or answers again.
     RunnerHealth,
-    /// A peer is not heard, or is heard again.
+    /// Heartbeats from a peer stopped, or arrive again.
     PeerHealth,
-    /// A record of the log could not be read.
+    /// A log record could not be read.
     RecordUnreadable,
-    /// Records were lost to retention, and no snapshot covers them.
+    /// Log records expired and no snapshot covers them.
     SnapshotMissing,
-    /// A snapshot was written.
+    /// A snapshot was appended to the log.
     SnapshotWritten,
-    /// A peer's state was taken over, since the log did not help.
+    /// The state was copied from a peer because it could not be restored from the log.
     StateTaken,
-    /// A runner crashed with requests aboard.
+    /// A runner crashed with a request in flight.
     RunnerCrashed,
 }
 
-/// One row of the catalogue.
+/// An entry of the event catalogue.
 #[derive(Clone, Copy, Debug)]
 pub struct EventRow {
     /// The event.
     pub event: Event,
-    /// Its number, which never changes.
+    /// The number of the event, which never changes.
     pub number: u16,
-    /// Its name in the log.
+    /// The name of the event in the log.
     pub name: &'static str,
-    /// Its level.
+    /// The log level.
     pub level: Level,
-    /// What it says, with its fields.
+    /// The description of the event and of its fields.
     pub text: &'static str,
 }
 
@@ -89,14 +89,14 @@
     }
 }
 
-/// The catalogue; docs/EVENTS.md shows the same.
+/// The event catalogue, which docs/EVENTS.md repeats.
 pub const EVENTS: &[EventRow] = &[
     row(
         Event::Started,
         100,
         "started",
         Level::Info,
-        "the VM serves: vm, addresses",
+        "the VM is ready to serve: vm, addresses",
     ),
     row(
         Event::Leaving,
@@ -124,28 +124,28 @@
         201,
         "published",
         Level::Info,
-        "a publication was accepted or lost to another: revision, base",
+        "a publication was accepted, or rejected since its base was outdated: revision, base",
     ),
     row(
         Event::Routed,
         300,
         "routed",
         Level::Info,
-        "a request goes to a runner: request, model, runner, score, others",
+        "a request was routed to a runner: request, model, runner, score, others",
     ),
     row(
         Event::Refused,
         301,
         "refused",
         Level::Info,
-        "a request is refused: request, kind, reason",
+        "a request was refused: request, kind, reason",
     ),
     row(
         Event::Resumed,
         302,
         "resumed",
         Level::Warn,
-        "a stream broke and goes on elsewhere: request, runner, token, cause",
+        "a broken stream continues on another runner: request, runner, token, cause",
     ),
     row(
         Event::Answered,
@@ -159,35 +159,35 @@
         306,
         "yielded",
         Level::Info,
-        "a batch request gives its slot to urgent ones: request, runner, token",
+        "a batch request gave up its slot to urgent requests: request, runner, token",
     ),
     row(
         Event::CallRouted,
         304,
         "call_routed",
         Level::Info,
-        "a call goes to a plain service: request, service, backend_server",
+        "a call was routed to a plain service: request, service, backend_server",
     ),
     row(
         Event::GroupClaimed,
         400,
         "group_claimed",
         Level::Info,
-        "a planner takes a group: group, claim, accepted",
+        "a planner claimed leadership of a group: group, claim, accepted",
     ),
     row(
         Event::LoadPlaced,
         401,
         "load_placed",
         Level::Info,
-        "a load is ordered: artifact, runner, reason, others",
+        "a load was ordered: artifact, runner, reason, others",
     ),
     row(
         Event::UnloadPlaced,
         402,
         "unload_placed",
         Level::Info,
-        "an unload is ordered: artifact, runner, reason",
+        "an unload was ordered: artifact, runner, reason",
     ),
     row(
         Event::OrderSettled,
@@ -201,21 +201,21 @@
         404,
         "runner_reset",
         Level::Warn,
-        "an engine started anew: runner, boot",
+        "an engine restarted: runner, boot",
     ),
     row(
         Event::RunnerDown,
         405,
         "runner_down",
         Level::Warn,
-        "a runner does not answer, its open loads are given up: runner",
+        "a runner does not answer, so that its open loads were abandoned: runner",
     ),
     row(
         Event::CopyLost,
         406,
         "copy_lost",
         Level::Warn,
-        "a runner lost a copy that was not to be unloaded: artifact, runner",
+        "a runner lost a copy without an order to unload it: artifact, runner",
     ),
     row(
         Event::RunnerHealth,
@@ -229,7 +229,7 @@
         501,
         "peer_health",
         Level::Warn,
-        "a peer stopped or resumed being heard: vm, up",
+        "heartbeats from a peer stopped or resumed: vm, up",
     ),
     row(
         Event::RecordUnreadable,
@@ -243,7 +243,7 @@
         601,
         "snapshot_missing",
         Level::Error,
-        "records were lost to retention: stream, first",
+        "log records expired and no snapshot covers them: stream, first",
     ),
     row(
         Event::SnapshotWritten,
@@ -257,19 +257,19 @@
         603,
         "state_taken",
         Level::Warn,
-        "the state was taken from a peer, since the log did not help: stream, offset",
+        "the state was copied from a peer, since the log could not restore it: stream, offset",
     ),
     row(
         Event::RunnerCrashed,
         700,
         "runner_crashed",
         Level::Error,
-        "a runner crashed with a request aboard: runner, boot, request, fingerprint",
+        "a runner crashed with a request in flight: runner, boot, request, fingerprint",
     ),
 ];
 
 impl Event {
-    /// The event's row of the catalogue.
+    /// The catalogue entry of this event.
     ///
     /// ```
     /// use rattanjunction::Event;
@@ -279,11 +279,11 @@
         EVENTS
             .iter()
             .find(|row| row.event == self)
-            .expect("every event has a row, as tests/catalogues.rs shows")
+            .expect("every event has a row in EVENTS")
     }
 }
 
-/// Logs an event with its fields.
+/// Logs an event with its fields and keeps it if it is a decision.
 pub(crate) fn emit(event: Event, fields: fmt::Arguments<'_>) {
     let row = event.row();
     log::log!(row.level, "E{} {} {fields}", row.number, row.name);
