--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The runners as this VM sees them: lagged reports, and its own requests in flight.
+//! The runners as this VM knows them: their last reports and this VM's requests in flight.
 
 use crate::engine::{EngineClient, Report, ReportedState};
 use crate::events::{Event, emit};
@@ -12,57 +12,57 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The time between two reports of one runner.
+/// The interval at which each runner is asked for a report.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// A report older than this says nothing.
+/// The age from which a report is ignored and its runner counts as not answering.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a runner that broke a connection is passed over.
-const BROKEN_PAUSE: Duration = Duration::from_millis(500);
+/// How long a runner gets no requests after one of its connections broke.
+const BROKEN_CONNECTION_BACKOFF: Duration = Duration::from_millis(500);
 
-/// One runner.
+/// A runner and what this VM knows of its state.
 #[derive(Debug)]
 pub(crate) struct Runner {
-    /// Its name in the inventory.
+    /// The name of the runner in the inventory.
     pub(crate) name: Name,
-    /// Where it listens.
+    /// The address at which the runner listens.
     pub(crate) address: SocketAddr,
     report: RefCell<Option<(Instant, Report)>>,
-    in_flight: Cell<Load>,
+    in_flight: Cell<InFlightCounts>,
     broken_at: Cell<Option<Instant>>,
-    yields_wanted: Cell<u32>,
+    requested_yields: Cell<u32>,
 }
 
 /// Counts a request as in flight on a runner until dropped.
 #[derive(Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     runner: Rc<Runner>,
-    load: Load,
+    counts: InFlightCounts,
 }
 
-impl InFlight {
-    /// The runner that the request is on.
+impl InFlightGuard {
+    /// The runner that serves the request.
     pub(crate) fn runner(&self) -> &Runner {
         &self.runner
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let in_flight = self.runner.in_flight.get();
-        self.runner.in_flight.set(in_flight - self.load);
+        self.runner.in_flight.set(in_flight - self.counts);
     }
 }
 
-/// Requests in flight.
+/// The number of requests in flight on a runner.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Load {
-    /// All of them.
+pub(crate) struct InFlightCounts {
+    /// All requests.
     pub(crate) all: u32,
-    /// The batch ones among them.
+    /// Batch requests, which `all` includes.
     pub(crate) batch: u32,
 }
 
-impl std::ops::Add for Load {
+impl std::ops::Add for InFlightCounts {
     type Output = Self;
 
     fn add(self, other: Self) -> Self {
@@ -73,7 +73,7 @@
     }
 }
 
-impl std::ops::Sub for Load {
+impl std::ops::Sub for InFlightCounts {
     type Output = Self;
 
     fn sub(self, other: Self) -> Self {
@@ -84,8 +84,8 @@
     }
 }
 
-impl Load {
-    /// The load of one request.
+impl InFlightCounts {
+    /// The counts for a single request.
     fn of(priority: Priority) -> Self {
         Self {
             all: 1,
@@ -102,32 +102,32 @@
             report: RefCell::new(None),
             in_flight: Cell::default(),
             broken_at: Cell::new(None),
-            yields_wanted: Cell::new(0),
+            requested_yields: Cell::new(0),
         }
     }
 
-    /// Looks at the last report, if it is fresh.
-    pub(crate) fn report<R>(&self, look: impl FnOnce(&Report) -> R) -> Option<R> {
+    /// Calls `read` with the last report; returns `None` if that report has expired.
+    pub(crate) fn report<R>(&self, read: impl FnOnce(&Report) -> R) -> Option<R> {
         let report = self.report.borrow();
         let (at, report) = report.as_ref()?;
-        (at.elapsed() < REPORT_TIMEOUT).then(|| look(report))
+        (at.elapsed() < REPORT_TIMEOUT).then(|| read(report))
     }
 
-    /// Whether the runner answers and broke no connection of late.
+    /// Whether the runner answers and none of its connections broke recently.
     pub(crate) fn is_up(&self) -> bool {
         let broken = self
             .broken_at
             .get()
-            .is_some_and(|at| at.elapsed() < BROKEN_PAUSE);
+            .is_some_and(|at| at.elapsed() < BROKEN_CONNECTION_BACKOFF);
         !broken && self.report(|_| ()).is_some()
     }
 
-    /// Whether the runner's reports arrive, though it may have broken a connection.
+    /// Whether the runner answers, even if one of its connections broke recently.
     pub(crate) fn is_answering(&self) -> bool {
         self.report(|_| ()).is_some()
     }
 
-    /// Whether the runner reported that requests for this artifact run.
+    /// Whether the runner's last report says that the artifact is ready for requests.
     pub(crate) fn is_ready(&self, artifact: &str) -> bool {
         self.report(|report| {
             report
@@ -138,7 +138,8 @@
         .unwrap_or(false)
     }
 
-    /// Notes that the runner does not hold all of these artifacts, whatever its last report says.
+    /// Removes the artifacts from the last report, after the runner refused a request since it
+    /// does not hold all of them.
     pub(crate) fn note_not_loaded(&self, artifacts: &[String]) {
         if let Some((_, report)) = self.report.borrow_mut().as_mut() {
             report
@@ -147,34 +148,36 @@
         }
     }
 
-    /// Requests of this VM on the runner.
-    pub(crate) fn in_flight(&self) -> Load {
+    /// This VM's requests in flight on the runner.
+    pub(crate) fn in_flight(&self) -> InFlightCounts {
         self.in_flight.get()
     }
 
-    /// Counts one more request.
-    pub(crate) fn enter(self: &Rc<Self>, priority: Priority) -> InFlight {
-        let load = Load::of(priority);
-        self.in_flight.set(self.in_flight.get() + load);
-        InFlight {
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub(crate) fn track_request(self: &Rc<Self>, priority: Priority) -> InFlightGuard {
+        let counts = InFlightCounts::of(priority);
+        self.in_flight.set(self.in_flight.get() + counts);
+        InFlightGuard {
             runner: self.clone(),
-            load,
+            counts,
         }
     }
 
-    /// Wants so many of this VM's batch requests on the runner to give up their slots.
-    pub(crate) fn want_yields(&self, count: u32) {
-        self.yields_wanted.set(count.min(self.in_flight().batch));
+    /// Asks `count` of this VM's batch requests on the runner to give up their slots.
+    ///
+    /// Replaces the number that was requested before.
+    pub(crate) fn request_yields(&self, count: u32) {
+        self.requested_yields.set(count.min(self.in_flight().batch));
     }
 
-    /// Takes one wanted yield, if there is any.
+    /// Consumes one requested yield; returns false if there is none.
     pub(crate) fn take_yield(&self) -> bool {
-        let wanted = self.yields_wanted.get();
-        self.yields_wanted.set(wanted.saturating_sub(1));
-        wanted > 0
+        let requested = self.requested_yields.get();
+        self.requested_yields.set(requested.saturating_sub(1));
+        requested > 0
     }
 
-    /// Notes a broken connection: the runner is passed over for a moment.
+    /// Records a broken connection, so that the runner gets no requests for a short time.
     pub(crate) fn note_broken(&self) {
         self.broken_at.set(Some(Instant::now()));
     }
@@ -192,7 +195,7 @@
 }
 
 impl Fleet {
-    /// A fleet without runners that counts the bytes of reports.
+    /// Creates a fleet without runners; `report_bytes` counts the bytes of reports.
     pub(crate) fn new(report_bytes: Counter) -> Self {
         Self {
             report_bytes,
@@ -200,18 +203,23 @@
         }
     }
 
-    /// Finds a runner.
+    /// Returns the runner of this name.
     pub(crate) fn runner(&self, name: &str) -> Option<Rc<Runner>> {
         self.runners.borrow().get(name).cloned()
     }
 
-    /// All runners, by name.
+    /// All runners in the order of their names.
     pub(crate) fn runners(&self) -> Vec<Rc<Runner>> {
         self.runners.borrow().values().cloned().collect()
     }
 
-    /// Takes over an inventory's runners and starts a task for each new one.
-    pub(crate) fn take<'a>(self: &Rc<Self>, servers: impl Iterator<Item = &'a BackendServer>) {
+    /// Replaces the runners by those of an inventory and starts a polling task for each new one.
+    ///
+    /// A runner whose name and address are unchanged keeps its state.
+    pub(crate) fn update_runners<'a>(
+        self: &Rc<Self>,
+        servers: impl Iterator<Item = &'a BackendServer>,
+    ) {
         let mut runners = self.runners.borrow_mut();
         let servers: HashMap<Name, &BackendServer> = servers
             .map(|server| (server.name.clone(), server))
@@ -224,13 +232,13 @@
         for (name, server) in servers {
             runners.entry(name).or_insert_with(|| {
                 let runner = Rc::new(Runner::new(server));
-                compio::runtime::spawn(self.clone().watch(runner.clone())).detach();
+                compio::runtime::spawn(self.clone().poll_reports(runner.clone())).detach();
                 runner
             });
         }
     }
 
-    /// This VM's requests in flight, for the heartbeats.
+    /// This VM's requests in flight by runner, which its heartbeats report to the peers.
     pub(crate) fn loads(&self) -> Vec<RunnerLoad> {
         self.runners
             .borrow()
@@ -244,8 +252,8 @@
             .collect()
     }
 
-    /// Asks one runner for reports until the inventory does not list it any more.
-    async fn watch(self: Rc<Self>, runner: Rc<Runner>) {
+    /// Polls a runner for reports until the inventory no longer lists it at its address.
+    async fn poll_reports(self: Rc<Self>, runner: Rc<Runner>) {
         let client = EngineClient::new(self.report_bytes.clone());
         let mut up = false;
         while self.is_listed(&runner) {
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::events::{Event, emit};
 use crate::external::{ListedVm, VmList};
-use crate::fleet::Load;
+use crate::fleet::InFlightCounts;
 use crate::inventory::Name;
 use crate::pause_detector::PauseWatch;
 use crate::server::ControlStream;
@@ -378,16 +378,17 @@
     }
 
     /// Requests in flight by runner, summed over the peers that live.
-    pub(crate) fn peer_loads(&self) -> HashMap<Name, Load> {
+    pub(crate) fn peer_loads(&self) -> HashMap<Name, InFlightCounts> {
         let mut loads = HashMap::new();
         for peer in self.peers.borrow().values().filter(|peer| peer.is_alive()) {
             let Some((_, heartbeat)) = &peer.heard else {
                 continue;
             };
             for load in &heartbeat.loads {
-                let sum: &mut Load = loads.entry(load.runner.as_str().into()).or_default();
+                let sum: &mut InFlightCounts =
+                    loads.entry(load.runner.as_str().into()).or_default();
                 *sum = *sum
-                    + Load {
+                    + InFlightCounts {
                         all: load.in_flight,
                         batch: load.batch,
                     };
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges, written in the Prometheus text format.
+//! The metrics of a VM, exported in the Prometheus text format.
 
 use crate::service_registry::Service;
 use prometheus_client::encoding::{EncodeLabelSet, text::encode};
@@ -8,61 +8,61 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// A request's end.
+/// The labels of a completed request.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct RequestLabels {
-    /// The caller's priority.
+    /// The priority of the request's caller.
     pub(crate) priority: &'static str,
-    /// `complete`, or the code of the error kind.
+    /// `complete`, or the `code` of the error response.
     pub(crate) outcome: &'static str,
 }
 
-/// An order's direction.
+/// The labels of an order to a runner.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct OrderLabels {
     /// `load` or `unload`.
     pub(crate) order: &'static str,
 }
 
-/// A log stream.
+/// The labels of a log stream.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct StreamLabels {
-    /// The stream's name.
+    /// The name of the stream.
     pub(crate) stream: &'static str,
 }
 
-/// A leg of the control traffic.
+/// The labels of control traffic.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub(crate) struct LegLabels {
-    /// `peers`, `log`, `reports` or `vm_list`.
+pub(crate) struct ControlTrafficLabels {
+    /// The kind of traffic: `peers`, `log`, `reports` or `vm_list`.
     pub(crate) leg: &'static str,
 }
 
 /// The metrics of one VM.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests ended.
+    /// The number of completed and failed requests.
     pub(crate) requests: Family<RequestLabels, Counter>,
-    /// Tokens passed on.
+    /// The number of tokens forwarded to callers.
     pub(crate) tokens: Counter,
-    /// Streams resumed on another runner.
+    /// The number of streams resumed on another runner.
     pub(crate) resumes: Counter,
-    /// Attempts after the first.
+    /// The number of retries: attempts of a request after the first.
     pub(crate) retries: Counter,
-    /// Time to the first token, in seconds.
+    /// The time to the first token, in seconds.
     pub(crate) first_token: Histogram,
-    /// Orders decided.
+    /// The number of orders that the planner has decided on.
     pub(crate) orders: Family<OrderLabels, Counter>,
-    /// Appends made to the log.
+    /// The number of appends to the log.
     pub(crate) appends: Family<StreamLabels, Gauge>,
-    /// The revision in force.
+    /// The inventory revision in force.
     pub(crate) revision: Gauge,
-    /// Peers heard of late.
+    /// The number of peers that recently sent a heartbeat.
     pub(crate) peers: Gauge,
-    /// Idempotency keys held.
+    /// The number of idempotency keys in memory.
     pub(crate) keys: Gauge,
-    /// Bytes of control traffic: bodies and frames, sent and received.
-    pub(crate) control_bytes: Family<LegLabels, Counter>,
+    /// Control traffic in bytes: bodies and frames, sent and received.
+    pub(crate) control_bytes: Family<ControlTrafficLabels, Counter>,
 }
 
 impl Service for Metrics {
@@ -128,15 +128,17 @@
         }
     }
 
-    /// The counter of one leg of the control traffic.
-    pub(crate) fn leg(&self, leg: &'static str) -> Counter {
-        self.control_bytes.get_or_create(&LegLabels { leg }).clone()
+    /// The byte counter of one kind of control traffic, such as `peers` or `log`.
+    pub(crate) fn control_traffic_counter(&self, leg: &'static str) -> Counter {
+        self.control_bytes
+            .get_or_create(&ControlTrafficLabels { leg })
+            .clone()
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub(crate) fn to_text(&self) -> String {
         let mut text = String::new();
-        encode(&mut text, &self.registry).expect("a string takes all text");
+        encode(&mut text, &self.registry).expect("writing to a string does not fail");
         text
     }
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -63,7 +63,7 @@
         Rc::new(Self {
             service,
             membership,
-            bytes: metrics.leg("peers"),
+            bytes: metrics.control_traffic_counter("peers"),
         })
     }
 
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -82,7 +82,7 @@
             demand: kernel.find(),
             fleet: kernel.find(),
             membership: kernel.find(),
-            engines: EngineClient::new(metrics.leg("reports")),
+            engines: EngineClient::new(metrics.control_traffic_counter("reports")),
             metrics,
             shutdown: kernel.find(),
             vm,
--- a/src/server.rs
+++ b/src/server.rs
@@ -176,12 +176,17 @@
     let writer: Name = format!("{}/{boot:016x}", config.vm).into();
     kernel.register(Rc::new(Shutdown::default()));
     let metrics = kernel.register(Rc::new(Metrics::new()));
-    let log = Rc::new(HttpLog::new(config.log_address, metrics.leg("log")));
+    let log = Rc::new(HttpLog::new(
+        config.log_address,
+        metrics.control_traffic_counter("log"),
+    ));
     let control: Rc<ControlStream> =
         kernel.register(Stream::open("control", log.clone(), writer.clone()));
     let keys: Rc<KeyStream> = kernel.register(Stream::open("keys", log, writer.clone()));
     let membership = kernel.register(Rc::new(Membership::new(config.vm.clone())));
-    let fleet = kernel.register(Rc::new(Fleet::new(metrics.leg("reports"))));
+    let fleet = kernel.register(Rc::new(Fleet::new(
+        metrics.control_traffic_counter("reports"),
+    )));
     let demand = kernel.register(Rc::new(Demand::new(membership.clone())));
     kernel.register(Rc::new(Quarantine::new(control.clone())));
     kernel.register(Rc::new(Router::new(
@@ -252,7 +257,7 @@
                 control.with(|control| (control.revision, control.inventory.clone()));
             if now != revision {
                 revision = now;
-                fleet.take(inventory.runners());
+                fleet.update_runners(inventory.runners());
                 emit(
                     Event::RevisionInForce,
                     format_args!("revision={revision} models={}", inventory.models.len()),
