--- a/src/dry_run.rs
+++ b/src/dry_run.rs
@@ -1,4 +1,5 @@
-//! What a publication would bring: the planning, run on a copy of the folded state.
+//! Forecasts the orders that a publication would lead to, by planning on a copy of the folded
+//! state.
 
 use crate::control::{Artifact, ClaimRef, Command, Control, CopyState, Outcome, Verdict};
 use crate::inventory::{Inventory, Name};
@@ -8,34 +9,34 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Rounds of planning at most.
+/// The largest number of planning rounds for each group.
 const MAX_ROUNDS: usize = 1_000;
-/// Fences of a dry run lie above all real ones.
+/// The first fencing token of a dry run, which is higher than every real one.
 const FIRST_FENCE: u64 = u64::MAX / 2;
 
-/// One order that the planner would give.
+/// An order that the planner would send to a runner.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct ForecastMove {
     /// `load` or `unload`.
     pub(crate) order: &'static str,
-    /// What is moved.
+    /// The artifact to load or unload.
     pub(crate) artifact: String,
-    /// Where.
+    /// The runner that receives the order.
     pub(crate) runner: Name,
-    /// Why.
+    /// The planner's reason for the order.
     pub(crate) reason: &'static str,
 }
 
-/// How a publication would end.
+/// The result of a dry run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct Forecast {
-    /// The orders, in order.
+    /// The orders in the sequence in which they would be sent.
     pub(crate) moves: Vec<ForecastMove>,
-    /// Models and adapters that would find no place.
+    /// The artifacts of the inventory that no runner would hold.
     pub(crate) missing: Vec<String>,
 }
 
-/// A copy of the folded state that is planned on.
+/// A copy of the folded state on which a publication is planned.
 pub(crate) struct DryRun {
     control: Control,
     writer: Name,
@@ -43,7 +44,7 @@
 }
 
 impl DryRun {
-    /// A dry run of a publication, from the state in force.
+    /// Creates a dry run that publishes `inventory` on a copy of the state in force.
     pub(crate) fn new(control: &Control, inventory: Inventory) -> Self {
         let mut dry_run = Self {
             control: control.clone(),
@@ -58,7 +59,7 @@
         dry_run
     }
 
-    /// Plans until nothing is left to do; `is_up` tells which runners take orders.
+    /// Plans until no orders are left; `is_up` says which runners accept orders.
     pub(crate) fn run(mut self, is_up: impl Fn(&str) -> bool) -> Forecast {
         let groups: BTreeSet<Name> = self
             .control
@@ -68,15 +69,15 @@
             .collect();
         let mut moves = Vec::new();
         for group in groups {
-            let under = self.claim(&group);
-            self.begin_books(&under);
+            let claim = self.claim(&group);
+            self.reset_unknown_runners(&claim);
             for _ in 0..MAX_ROUNDS {
                 let planned = Planning::new(&self.control, &group, &is_up).moves();
                 let before = moves.len();
                 moves.extend(
                     planned
                         .into_iter()
-                        .filter_map(|planned| self.carry_out(&under, planned)),
+                        .filter_map(|planned| self.apply_move(&claim, planned)),
                 );
                 if moves.len() == before {
                     break;
@@ -89,6 +90,7 @@
         }
     }
 
+    /// Applies a command with the next fence; returns the fence if the command is accepted.
     fn apply(&mut self, command: Command) -> Option<u64> {
         self.fence += 1;
         let position = Position {
@@ -99,12 +101,13 @@
         (verdict == Verdict::Accepted).then_some(self.fence)
     }
 
+    /// Claims leadership of a group for the dry run.
     fn claim(&mut self, group: &Name) -> ClaimRef {
-        let held = self.control.claims.get(group);
+        let current = self.control.claims.get(group);
         let command = Command::Claim {
             group: group.clone(),
             vm: self.writer.clone(),
-            after: held.map_or(0, |claim| claim.fence),
+            after: current.map_or(0, |claim| claim.fence),
         };
         self.apply(command);
         ClaimRef {
@@ -113,19 +116,19 @@
         }
     }
 
-    /// Takes runners that nothing is known of for empty.
-    fn begin_books(&mut self, under: &ClaimRef) {
-        let new: Vec<Name> = self
+    /// Resets the ledgers of the group's runners that have not reported yet, as if they were empty.
+    fn reset_unknown_runners(&mut self, claim: &ClaimRef) {
+        let unknown_runners: Vec<Name> = self
             .control
             .inventory
             .runners()
-            .filter(|runner| runner.group == under.group)
+            .filter(|runner| runner.group == claim.group)
             .filter(|runner| self.control.ledger(&runner.name).boot == 0)
             .map(|runner| runner.name.clone())
             .collect();
-        for runner in new {
+        for runner in unknown_runners {
             self.apply(Command::Reset {
-                under: under.clone(),
+                under: claim.clone(),
                 runner,
                 boot: 1,
                 fenced: true,
@@ -134,8 +137,8 @@
         }
     }
 
-    /// Gives an order and ends it as done.
-    fn carry_out(&mut self, under: &ClaimRef, planned: Move) -> Option<ForecastMove> {
+    /// Applies an order and settles it as done; returns `None` if the order is refused.
+    fn apply_move(&mut self, claim: &ClaimRef, planned: Move) -> Option<ForecastMove> {
         let (order, runner, artifact, reason) = match planned {
             Move::Load {
                 runner,
@@ -151,20 +154,20 @@
         };
         let command = if order == "load" {
             Command::Load {
-                under: under.clone(),
+                under: claim.clone(),
                 runner: runner.clone(),
                 artifact: artifact.clone(),
             }
         } else {
             Command::Unload {
-                under: under.clone(),
+                under: claim.clone(),
                 runner: runner.clone(),
                 artifact: artifact.clone(),
             }
         };
         let intent = self.apply(command)?;
         self.apply(Command::Settle {
-            under: under.clone(),
+            under: claim.clone(),
             runner: runner.clone(),
             artifact: artifact.clone(),
             intent,
@@ -179,7 +182,7 @@
         })
     }
 
-    /// What the inventory lists and no runner holds.
+    /// The artifacts of the inventory that are resident on no runner.
     fn missing(&self) -> Vec<String> {
         let mut missing = Vec::new();
         for model in &self.control.inventory.models {
@@ -194,7 +197,7 @@
                     adapter,
                     version,
                 };
-                if !self.is_held(&artifact) {
+                if !self.is_resident(&artifact) {
                     missing.push(artifact.to_string());
                 }
             }
@@ -202,7 +205,7 @@
         missing
     }
 
-    fn is_held(&self, artifact: &Artifact) -> bool {
+    fn is_resident(&self, artifact: &Artifact) -> bool {
         self.control.ledgers.values().any(|ledger| {
             let copy = ledger.copies.get(artifact);
             copy.is_some_and(|copy| copy.state == CopyState::Resident)
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' side: status, metrics, health and publication.
+//! The operators' HTTP interface: health, metrics, status and publication of inventories.
 
 use crate::control::{Command, CopyState, Verdict};
 use crate::dry_run::DryRun;
@@ -21,30 +21,31 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long an operator waits for the log before the outcome is called unknown.
-const PUBLISH_LIMIT: Duration = Duration::from_millis(3_000);
-/// How long a publication may wait behind other records before it is refused unwritten.
-const QUEUE_LIMIT: Duration = Duration::from_millis(2_500);
-/// The largest inventory, in bytes.
+/// How long a publication may take before its outcome is reported as unknown.
+const PUBLISH_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// How long a publication may wait behind other records before it is refused without being
+/// written to the log.
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The largest body of a publication, in bytes.
 const MAX_INVENTORY_BYTES: usize = 16 * 1024 * 1024;
 
-/// A publication as operators send it.
+/// An operator's request to publish an inventory.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Publication {
-    /// The revision that the change was made from; the present one if absent.
+    /// The revision that the inventory is based on; the revision in force if absent.
     pub(crate) base: Option<u64>,
-    /// Whether to begin anew where the configuration in force was lost.
+    /// Whether to start from an empty state if the configuration in force was lost.
     #[serde(default)]
     pub(crate) start_anew: bool,
-    /// Whether only to tell what would come of it.
+    /// Whether to return a forecast of the resulting orders without publishing.
     #[serde(default)]
     pub(crate) dry_run: bool,
-    /// The whole inventory.
+    /// The complete new inventory.
     pub(crate) inventory: Inventory,
 }
 
-/// The operators' service of one VM.
+/// The operators' interface of one VM.
 pub(crate) struct Operator {
     vm: Name,
     zone: Name,
@@ -61,7 +62,7 @@
 }
 
 impl Operator {
-    /// An operators' service over the services it reads.
+    /// Creates the operators' interface from the VM's services.
     pub(crate) fn new(kernel: &Kernel, vm: Name, zone: Name) -> Self {
         Self {
             vm,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub(crate) async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         let answer = match (request.method(), request.uri().path()) {
             (&Method::GET, "/health") => Ok(self.entry.health()),
@@ -126,7 +127,7 @@
     async fn publish(&self, body: Incoming) -> Result<Response<Body>, Failure> {
         let bytes = read_body(body, MAX_INVENTORY_BYTES)
             .await
-            .map_err(|_error| Failure::new(Kind::TooLarge, "the inventory could not be read"))?;
+            .map_err(|_error| Failure::new(Kind::TooLarge, "inventory too large or incomplete"))?;
         let mut deserializer = serde_json::Deserializer::from_slice(&bytes);
         let publication: Publication = serde_path_to_error::deserialize(&mut deserializer)
             .map_err(|error| {
@@ -144,8 +145,8 @@
         if publication.start_anew {
             self.start_anew().await?;
         }
-        let present = self.control.with(|control| control.revision);
-        let base = publication.base.unwrap_or(present);
+        let in_force = self.control.with(|control| control.revision);
+        let base = publication.base.unwrap_or(in_force);
         let command = self.command(base, publication.inventory);
         let recorded = self.record(command).await?;
         let accepted = recorded.verdict == Verdict::Accepted;
@@ -161,16 +162,17 @@
         Ok(conflict(base, revision))
     }
 
-    /// Tells what would move, and whether everything would find its place.
+    /// Responds with the orders that the publication would lead to and the artifacts for which
+    /// no runner has room.
     fn forecast(&self, publication: Publication) -> Response<Body> {
         let (revision, dry_run) = self.control.with(|control| {
             let dry_run = DryRun::new(control, publication.inventory);
             (control.revision, dry_run)
         });
         let forecast = dry_run.run(|name| {
-            // A runner that is new with this publication is taken for ready.
-            let known = self.fleet.runner(name);
-            known.is_none_or(|runner| runner.is_up()) && !self.membership.is_server_leaving(name)
+            // A runner that the publication adds is assumed to be up.
+            let runner = self.fleet.runner(name);
+            runner.is_none_or(|runner| runner.is_up()) && !self.membership.is_server_leaving(name)
         });
         let body = json!({
             "revision": revision,
@@ -182,18 +184,18 @@
         json_response(StatusCode::OK, &body)
     }
 
-    /// Begins with an empty state, if nobody knows the one that was in force.
+    /// Starts from an empty state if neither this VM nor a peer knows the state in force.
     async fn start_anew(&self) -> Result<(), Failure> {
         if self.control.has_usable_state() || self.membership.furthest_peer(0).is_some() {
-            let message = "the configuration in force is known; publish without starting anew";
+            let message = "the configuration in force is known; publish without `start_anew`";
             return Err(Failure::new(Kind::Conflict, message));
         }
         let unavailable = |_| {
-            let message = "the log does not take the publication now";
+            let message = "the log does not accept the publication at present";
             Failure::new(Kind::LogUnavailable, message)
         };
         self.control.start_anew().await.map_err(unavailable)?;
-        let known = async {
+        let until_ready = async {
             loop {
                 let changed = self.control.changed();
                 if self.control.is_ready() {
@@ -202,15 +204,18 @@
                 changed.await;
             }
         };
-        let waited = compio::time::timeout(PUBLISH_LIMIT, known).await;
-        waited.map_err(|_elapsed| Failure::new(Kind::LogUnavailable, "the log is not readable"))
+        let waited = compio::time::timeout(PUBLISH_TIMEOUT, until_ready).await;
+        waited.map_err(|_elapsed| Failure::new(Kind::LogUnavailable, "the log cannot be read"))
     }
 
-    /// The command of a publication: the change alone where the base is known here.
+    /// The command that records a publication.
+    ///
+    /// It carries only the changes if the base is the revision in force on this VM, and the whole
+    /// inventory otherwise.
     fn command(&self, base: u64, inventory: Inventory) -> Command {
         let change = self.control.with(|control| {
-            let known = control.revision == base && base > 0;
-            known.then(|| InventoryChange::between(&control.inventory, &inventory))?
+            let is_base_in_force = control.revision == base && base > 0;
+            is_base_in_force.then(|| InventoryChange::between(&control.inventory, &inventory))?
         });
         match change {
             Some(change) => Command::Amend {
@@ -224,20 +229,26 @@
         }
     }
 
-    /// Records a publication, and says what is known of it when that takes too long.
+    /// Appends a publication to the log and waits for its verdict.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Kind::LogUnavailable`] if the publication was not recorded and will not be,
+    /// and with [`Kind::OutcomeUnknown`] if it may have been or may yet be recorded.
     async fn record(&self, command: Command) -> Result<Recorded<Verdict>, Failure> {
-        let deadline = Instant::now() + QUEUE_LIMIT;
+        let deadline = Instant::now() + QUEUE_TIMEOUT;
         let proposed = self.control.propose_by(command, deadline);
-        match compio::time::timeout(PUBLISH_LIMIT, proposed).await {
+        match compio::time::timeout(PUBLISH_TIMEOUT, proposed).await {
             Ok(Ok(recorded)) => Ok(recorded),
             Ok(Err(ProposeError::NotRecorded)) => Err(Failure::new(
                 Kind::LogUnavailable,
-                "the log does not take the publication now; it is not recorded and will not be",
+                "the log does not accept the publication at present; it was not recorded and will \
+                 not be",
             )),
             Ok(Err(ProposeError::VerdictLost)) | Err(_) => Err(Failure::new(
                 Kind::OutcomeUnknown,
                 "the log has not confirmed the publication; it may be in force or come into force \
-                 later: look at status before publishing again",
+                 later: check `status` before publishing again",
             )),
         }
     }
@@ -261,13 +272,14 @@
         let own = json!({"name": self.vm, "availability_zone": self.zone, "alive": true,
             "revision": self.control.with(|control| control.revision)});
         let peers = self.membership.peers().into_iter().map(|(name, peer)| {
-            let heard = peer.heard.as_ref();
+            let last_heard = peer.heard.as_ref();
             json!({
                 "name": name,
-                "availability_zone": heard.map(|(_, heartbeat)| &heartbeat.availability_zone),
+                "availability_zone": last_heard.map(|(_, heartbeat)| &heartbeat.availability_zone),
                 "alive": self.membership.is_alive(&name),
-                "leaving": peer.listed_leaving || heard.is_some_and(|(_, said)| said.leaving),
-                "revision": heard.map(|(_, heartbeat)| heartbeat.revision),
+                "leaving": peer.listed_leaving
+                    || last_heard.is_some_and(|(_, heartbeat)| heartbeat.leaving),
+                "revision": last_heard.map(|(_, heartbeat)| heartbeat.revision),
             })
         });
         std::iter::once(own).chain(peers).collect()
@@ -310,7 +322,7 @@
                 .models
                 .iter()
                 .map(|model| {
-                    let on: Vec<&Name> = control
+                    let runners: Vec<&Name> = control
                         .ledgers
                         .iter()
                         .filter(|(_, ledger)| {
@@ -324,17 +336,17 @@
                         })
                         .map(|(name, _)| name)
                         .collect();
-                    json!({"name": model.name, "version": model.version, "resident_on": on})
+                    json!({"name": model.name, "version": model.version, "resident_on": runners})
                 })
                 .collect()
         })
     }
 }
 
-/// The recent decisions of this VM about what the query names.
+/// Responds with this VM's recent decisions about the subject of the query, `about=SUBJECT`.
 fn explain(query: &str) -> Response<Body> {
-    let what = query.strip_prefix("about=").unwrap_or_default();
-    let decisions: Vec<Value> = recent_decisions::about(what)
+    let subject = query.strip_prefix("about=").unwrap_or_default();
+    let decisions: Vec<Value> = recent_decisions::about(subject)
         .iter()
         .map(|decision| {
             json!({
@@ -347,14 +359,14 @@
         .collect();
     json_response(
         StatusCode::OK,
-        &json!({"about": what, "decisions": decisions}),
+        &json!({"about": subject, "decisions": decisions}),
     )
 }
 
-/// The answer to an operator whose change lost to another.
+/// The response to a publication whose base is not the revision in force.
 fn conflict(base: u64, revision: u64) -> Response<Body> {
     let message = format!(
-        "the change was made from revision {base}, but revision {revision} is in force; look at \
+        "the change was made from revision {base}, but revision {revision} is in force; check \
          it and publish again"
     );
     let failure = Failure::new(Kind::Conflict, message);
