--- a/src/admission.rs
+++ b/src/admission.rs
@@ -72,7 +72,7 @@
     }
 
     /// Lets own batch requests give way on a runner where an urgent one found no slot.
-    pub(crate) fn make_room_on(&self, runner: &Runner) {
+    pub(crate) fn request_batch_yields(&self, runner: &Runner) {
         let peers = self.membership.peer_loads();
         if self.batch_yields() && self.urgent_waiting(runner, &peers) > 0 {
             runner.request_yields(1);
@@ -80,7 +80,7 @@
     }
 
     /// Lets own batch requests give way to peers' urgent ones, until the process ends.
-    pub(crate) async fn keep_room(self: Rc<Self>) {
+    pub(crate) async fn run_batch_yields(self: Rc<Self>) {
         loop {
             compio::time::sleep(LOOK_INTERVAL).await;
             if !self.batch_yields() {
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -505,7 +505,7 @@
         let now = Instant::now();
         let is_hopeful = now < self.hopeful_until
             || router.is_coming(target, pinned)
-            || router.is_served(target);
+            || router.has_ready_runner(target);
         if now >= self.give_up_at || !is_hopeful {
             return Err(self.exhausted("no runner can take the request now"));
         }
@@ -535,7 +535,7 @@
         );
         let in_flight = choice.runner.track_request(self.ask.priority);
         if self.ask.priority == Priority::Urgent {
-            self.shared.router.make_room_on(&choice.runner);
+            self.shared.router.request_batch_yields(&choice.runner);
         }
         let body = self.body_for(&choice.target);
         let (connection, response) = self.send(&choice, body).await?;
--- a/src/dry_run.rs
+++ b/src/dry_run.rs
@@ -3,7 +3,7 @@
 
 use crate::control::{Artifact, ClaimRef, Command, Control, CopyState, Outcome, Verdict};
 use crate::inventory::{Inventory, Name};
-use crate::placement::{Move, Planning};
+use crate::placement::{Move, PlacementPlanner};
 use crate::replica::{Fold, Position};
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -72,7 +72,7 @@
             let claim = self.claim(&group);
             self.reset_unknown_runners(&claim);
             for _ in 0..MAX_ROUNDS {
-                let planned = Planning::new(&self.control, &group, &is_up).moves();
+                let planned = PlacementPlanner::new(&self.control, &group, &is_up).moves();
                 let before = moves.len();
                 moves.extend(
                     planned
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1 serving with `hyper` on `compio`, and the body type of requests and responses.
 
 use crate::shutdown::Shutdown;
-use crate::write_stall::{StallWatch, Watched};
+use crate::write_stall::{MonitoredStream, StallMonitor};
 use bytes::Bytes;
 use compio::net::{TcpListener, TcpSocket, TcpStream};
 use compio::runtime::JoinHandle;
@@ -290,7 +290,7 @@
             let shutdown_state = shutdown_state.clone();
             async move { Ok::<_, Infallible>(close_if_leaving(&shutdown_state, answer.await)) }
         });
-        let (stream, watch) = Watched::new(HyperStream::new_plain(stream));
+        let (stream, watch) = MonitoredStream::new(HyperStream::new_plain(stream));
         let connection = http1::Builder::new()
             .timer(CompioTimer)
             .header_read_timeout(head_timeout)
@@ -328,7 +328,7 @@
 }
 
 /// Returns when a write on the connection has made no progress for [`WRITE_STALL_TIMEOUT`].
-async fn wait_for_stall(watch: StallWatch) {
+async fn wait_for_stall(watch: StallMonitor) {
     while watch.stalled_for() < WRITE_STALL_TIMEOUT {
         compio::time::sleep(STALL_CHECK_INTERVAL).await;
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -69,4 +69,4 @@
 pub use reference::{FIELDS, FieldRow};
 pub use replay::{CommandVerdict, Replay};
 pub use server::serve;
-pub use shutdown::{OpenGuard, Shutdown};
+pub use shutdown::{Shutdown, WorkGuard};
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -4,7 +4,7 @@
 use crate::external::{ListedVm, VmList};
 use crate::fleet::InFlightCounts;
 use crate::inventory::Name;
-use crate::pause_detector::PauseWatch;
+use crate::pause_detector::PauseDetector;
 use crate::server::ControlStream;
 use crate::service_registry::Service;
 use crate::wire::{Heartbeat, ModelDemand};
@@ -77,7 +77,7 @@
     listed_at: Cell<Option<Instant>>,
     list_checked_at: Cell<Option<Instant>>,
     started_at: Instant,
-    pauses: PauseWatch,
+    pauses: PauseDetector,
 }
 
 impl Service for Membership {
@@ -95,7 +95,7 @@
             listed_at: Cell::new(None),
             list_checked_at: Cell::new(None),
             started_at: Instant::now(),
-            pauses: PauseWatch::default(),
+            pauses: PauseDetector::default(),
         }
     }
 
@@ -199,7 +199,7 @@
         check("the log", control.silence());
         check("the VM list", self.list_age());
         let listed = self.staying_peers();
-        let live = self.live_peers();
+        let live = self.live_peer_count();
         if live * 2 < listed {
             warnings.push(format!("only {live} of {listed} listed peers are heard"));
         }
@@ -304,7 +304,7 @@
     }
 
     /// The live peer that has read furthest, if beyond `offset`.
-    pub(crate) fn furthest_peer(&self, offset: u64) -> Option<SocketAddr> {
+    pub(crate) fn most_advanced_peer(&self, offset: u64) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         peers
             .values()
@@ -334,7 +334,7 @@
     }
 
     /// The number of peers that live.
-    pub(crate) fn live_peers(&self) -> usize {
+    pub(crate) fn live_peer_count(&self) -> usize {
         self.peers
             .borrow()
             .values()
@@ -343,7 +343,7 @@
     }
 
     /// Whether this VM comes first among the live ones for a task, by rendezvous hashing.
-    pub(crate) fn is_first_for(&self, task: &str) -> bool {
+    pub(crate) fn is_assigned(&self, task: &str) -> bool {
         if self.started_at.elapsed() < PEER_TIMEOUT {
             return false;
         }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -12,7 +12,7 @@
 use crate::metrics::{Metrics, StreamLabels};
 use crate::recent_decisions;
 use crate::server::{ControlStream, KeyStream};
-use crate::service_registry::{Kernel, Service};
+use crate::service_registry::{Service, ServiceRegistry};
 use crate::stream::{ProposeError, Recorded};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode, header};
@@ -63,16 +63,16 @@
 
 impl Operator {
     /// Creates the operators' interface from the VM's services.
-    pub(crate) fn new(kernel: &Kernel, vm: Name, zone: Name) -> Self {
+    pub(crate) fn new(registry: &ServiceRegistry, vm: Name, zone: Name) -> Self {
         Self {
             vm,
             zone,
-            entry: kernel.find(),
-            control: kernel.find(),
-            keys: kernel.find(),
-            fleet: kernel.find(),
-            membership: kernel.find(),
-            metrics: kernel.find(),
+            entry: registry.find(),
+            control: registry.find(),
+            keys: registry.find(),
+            fleet: registry.find(),
+            membership: registry.find(),
+            metrics: registry.find(),
         }
     }
 
@@ -105,7 +105,9 @@
         self.metrics
             .revision
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
-        self.metrics.peers.set(self.membership.live_peers() as i64);
+        self.metrics
+            .peers
+            .set(self.membership.live_peer_count() as i64);
         self.metrics
             .keys
             .set(self.keys.with(|keys| keys.len()) as i64);
@@ -186,7 +188,7 @@
 
     /// Starts from an empty state if neither this VM nor a peer knows the state in force.
     async fn start_anew(&self) -> Result<(), Failure> {
-        if self.control.has_usable_state() || self.membership.furthest_peer(0).is_some() {
+        if self.control.has_usable_state() || self.membership.most_advanced_peer(0).is_some() {
             let message = "the configuration in force is known; publish without `start_anew`";
             return Err(Failure::new(Kind::Conflict, message));
         }
