--- a/src/planner.rs
+++ b/src/planner.rs
@@ -91,7 +91,7 @@
             demand: registry.find(),
             fleet: registry.find(),
             membership: registry.find(),
-            engines: EngineClient::new(metrics.leg("reports")),
+            engines: EngineClient::new(metrics.control_traffic_counter("reports")),
             metrics,
             shutdown: registry.find(),
             vm,
--- a/src/server.rs
+++ b/src/server.rs
@@ -178,12 +178,17 @@
     let writer: Name = format!("{}/{boot:016x}", config.vm).into();
     registry.register(Rc::new(Shutdown::default()));
     let metrics = registry.register(Rc::new(Metrics::new()));
-    let log = Rc::new(HttpLog::new(config.log_address, metrics.leg("log")));
+    let log = Rc::new(HttpLog::new(
+        config.log_address,
+        metrics.control_traffic_counter("log"),
+    ));
     let control: Rc<ControlStream> =
         registry.register(Stream::open("control", log.clone(), writer.clone()));
     let keys: Rc<KeyStream> = registry.register(Stream::open("keys", log, writer.clone()));
     let membership = registry.register(Rc::new(Membership::new(config.vm.clone())));
-    let fleet = registry.register(Rc::new(Fleet::new(metrics.leg("reports"))));
+    let fleet = registry.register(Rc::new(Fleet::new(
+        metrics.control_traffic_counter("reports"),
+    )));
     let demand = registry.register(Rc::new(Demand::new(membership.clone())));
     registry.register(Rc::new(Quarantine::new(control.clone())));
     registry.register(Rc::new(Router::new(
@@ -256,7 +261,7 @@
                 control.with(|control| (control.revision, control.inventory.clone()));
             if current != revision {
                 revision = current;
-                fleet.take(inventory.runners());
+                fleet.update_runners(inventory.runners());
                 emit(
                     Event::RevisionInForce,
                     format_args!("revision={revision} models={}", inventory.models.len()),
