--- a/src/inventory/backend_server.rs
+++ b/src/inventory/backend_server.rs
@@ -14,34 +14,34 @@
     Service,
 }
 
-/// A backend server of the asset register.
+/// A backend server, as listed in the asset register.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServer {
-    /// The name in the asset register, also used in the VM list.
+    /// The server's name in the asset register and in the VM list.
     pub name: Name,
-    /// What it does.
+    /// Whether the server runs models or a plain service.
     pub duty: Duty,
-    /// Where it listens.
+    /// The address the server listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The availability zone of the server.
     pub availability_zone: Name,
-    /// The group of runners that is planned together.
+    /// The group of the runner; placement is planned for each group separately.
     #[serde(default = "default_group")]
     pub group: Name,
-    /// Accelerator memory; 0 for plain services.
+    /// Accelerator memory in MiB; 0 for plain services.
     #[serde(default)]
     pub memory_mib: u64,
-    /// The part of the memory kept for KV cache.
+    /// The part of `memory_mib` reserved for the KV cache.
     #[serde(default)]
     pub kv_mib: u64,
-    /// Requests that run at once without slowing each other below target.
+    /// Requests that can run concurrently without falling below the target speed.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether the engine refuses an order with an old fencing number.
+    /// Whether the engine refuses an order with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether it is leaving: it gets no new work.
+    /// Whether the server is leaving. A leaving server gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -55,8 +55,8 @@
 }
 
 impl BackendServer {
-    /// Memory that weights may take.
-    pub fn weights_room_mib(&self) -> u64 {
+    /// The memory available for weights, in MiB.
+    pub fn weights_capacity_mib(&self) -> u64 {
         self.memory_mib.saturating_sub(self.kv_mib)
     }
 }
--- a/src/inventory/caller.rs
+++ b/src/inventory/caller.rs
@@ -1,25 +1,25 @@
-//! Callers, their priority and their limits.
+//! Callers with their priorities and limits.
 
 use super::Name;
 use serde::{Deserialize, Serialize};
 
-/// How urgent a caller's requests are.
+/// The priority of a caller's requests.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// A clearance desk or a loading bay waits for the answer.
+    /// Requests that someone waits for, such as a clearance desk or a loading bay.
     Urgent,
     /// Ordinary requests.
     #[default]
     Normal,
-    /// Fills what the others leave.
+    /// Requests that use the capacity left by the other priorities.
     Batch,
 }
 
 impl Priority {
-    /// The number sent to engines: lower runs first.
+    /// The priority value sent to engines; lower values run first.
     pub fn rank(self) -> u8 {
         match self {
             Self::Urgent => 0,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The word used in logs and metrics.
+    /// The name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Urgent => "urgent",
@@ -38,7 +38,7 @@
     }
 }
 
-/// A caller, known by its API key.
+/// A caller, identified by its API key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
@@ -46,16 +46,16 @@
     pub name: Name,
     /// The bearer token that the caller sends.
     pub api_key: Name,
-    /// How urgent its requests are.
+    /// The priority of the caller's requests.
     #[serde(default)]
     pub priority: Priority,
-    /// The deadline for the whole answer, unless a request states its own.
+    /// The deadline for the whole response in milliseconds, unless a request sets its own.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// The deadline for the first token, if the caller has one.
+    /// The deadline for the first token in milliseconds, if the caller has one.
     #[serde(default)]
     pub first_token_ms: Option<u64>,
-    /// Requests at once over one VM; 0 for no limit.
+    /// The maximum number of requests in flight on one VM; 0 for no limit.
     #[serde(default)]
     pub max_concurrent: u32,
 }
--- a/src/inventory/change.rs
+++ b/src/inventory/change.rs
@@ -1,10 +1,10 @@
-//! The difference between two inventories, as small as the change itself.
+//! The difference between two inventories, which is smaller to store than a whole inventory.
 
 use super::{BackendServer, Caller, Inventory, Model, Name, PlainService, Rules};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// An item of a list that is known by its name.
+/// A list item that is identified by its name.
 trait Named: Clone + PartialEq {
     fn name(&self) -> &Name;
 }
@@ -33,13 +33,13 @@
     }
 }
 
-/// What changes in one list.
+/// The changes to one list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct ListChange<T> {
-    /// Items that are new or differ, each whole.
+    /// Items that were added or changed, each in full.
     #[serde(default = "Vec::new", skip_serializing_if = "Vec::is_empty")]
     set: Vec<T>,
-    /// Names that are not listed any more.
+    /// Names of the items that were removed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     removed: Vec<Name>,
 }
@@ -54,32 +54,38 @@
 }
 
 impl<T: Named> ListChange<T> {
+    /// Computes the change from `old` to `new`, without the order of the items.
     fn between(old: &[T], new: &[T]) -> Self {
         let before: HashMap<&Name, &T> = old.iter().map(|item| (item.name(), item)).collect();
         let after: HashSet<&Name> = new.iter().map(T::name).collect();
-        let differs = |item: &&T| before.get(item.name()) != Some(item);
-        let gone = old.iter().map(T::name).filter(|name| !after.contains(name));
+        let is_changed = |item: &&T| before.get(item.name()) != Some(item);
+        let removed = old.iter().map(T::name).filter(|name| !after.contains(name));
         Self {
-            set: new.iter().filter(differs).cloned().collect(),
-            removed: gone.cloned().collect(),
+            set: new.iter().filter(is_changed).cloned().collect(),
+            removed: removed.cloned().collect(),
         }
     }
 
+    /// Replaces changed items in place, drops removed ones and appends added ones.
     fn apply(&self, old: &[T]) -> Vec<T> {
-        let mut set: HashMap<&Name, &T> = self.set.iter().map(|item| (item.name(), item)).collect();
+        let mut remaining: HashMap<&Name, &T> =
+            self.set.iter().map(|item| (item.name(), item)).collect();
         let removed: HashSet<&Name> = self.removed.iter().collect();
         let mut items: Vec<T> = old
             .iter()
             .filter(|item| !removed.contains(item.name()))
-            .map(|item| set.remove(item.name()).unwrap_or(item).clone())
+            .map(|item| remaining.remove(item.name()).unwrap_or(item).clone())
             .collect();
-        let new = self.set.iter().filter(|item| set.contains_key(item.name()));
-        items.extend(new.cloned());
+        let added = self
+            .set
+            .iter()
+            .filter(|item| remaining.contains_key(item.name()));
+        items.extend(added.cloned());
         items
     }
 }
 
-/// What changes from one inventory to another.
+/// The changes that turn one inventory into another.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub(crate) struct InventoryChange {
@@ -92,8 +98,8 @@
 }
 
 impl InventoryChange {
-    /// The change that makes `new` of `old`; `None` where only the whole does,
-    /// such as for another order of the lists.
+    /// Computes the change that turns `old` into `new`; `None` if no such change can express it,
+    /// for example when the items of a list were reordered.
     pub(crate) fn between(old: &Inventory, new: &Inventory) -> Option<Self> {
         let change = Self {
             models: ListChange::between(&old.models, &new.models),
@@ -105,7 +111,7 @@
         (change.apply(old) == *new).then_some(change)
     }
 
-    /// The inventory that the change makes of `old`.
+    /// Applies the change to `old` and returns the new inventory.
     pub(crate) fn apply(&self, old: &Inventory) -> Inventory {
         Inventory {
             models: self.models.apply(&old.models),
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -1,4 +1,4 @@
-//! The inventory: what operators publish, and the rules it must keep.
+//! The inventory that operators publish, and its validation.
 
 mod backend_server;
 mod caller;
@@ -20,14 +20,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
-/// A shared immutable name.
+/// An immutable string that is cheap to clone.
 pub type Name = ArcStr;
 
-/// Models, adapters, versions, backend servers and rules.
+/// The models, backend servers, services and callers of a deployment, with the rules for them.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Inventory {
-    /// The models, each with its adapters.
+    /// Models with their adapters.
     #[serde(default)]
     pub models: Vec<Model>,
     /// Model runners and the servers of plain services.
@@ -36,16 +36,16 @@
     /// Plain services and their routes.
     #[serde(default)]
     pub services: Vec<PlainService>,
-    /// Callers known by their API keys.
+    /// Callers, identified by their API keys.
     #[serde(default)]
     pub callers: Vec<Caller>,
-    /// Rules on priority and placement.
+    /// Rules for priorities, routing and placement.
     #[serde(default)]
     pub rules: Rules,
 }
 
 impl Inventory {
-    /// Checks every rule and returns all that is wrong.
+    /// Validates the whole inventory and returns every problem found.
     ///
     /// ```
     /// use rattanjunction::Inventory;
@@ -83,7 +83,7 @@
     pub fn service_for(&self, path: &str) -> Option<&PlainService> {
         self.services
             .iter()
-            .filter(|service| service.covers(path))
+            .filter(|service| service.matches_path(path))
             .max_by_key(|service| service.path.len())
     }
 
@@ -96,19 +96,19 @@
 
     fn check_names(&self, problems: &mut Vec<Problem>) {
         let models = self.models.iter().map(|model| &model.name);
-        unique("models", "name", models, problems);
+        check_unique("models", "name", models, problems);
         let servers = self.backend_servers.iter().map(|server| &server.name);
-        unique("backend_servers", "name", servers, problems);
+        check_unique("backend_servers", "name", servers, problems);
         let services = self.services.iter().map(|service| &service.name);
-        unique("services", "name", services, problems);
+        check_unique("services", "name", services, problems);
         let callers = self.callers.iter().map(|caller| &caller.name);
-        unique("callers", "name", callers, problems);
+        check_unique("callers", "name", callers, problems);
         let keys = self.callers.iter().map(|caller| &caller.api_key);
-        unique("callers", "api_key", keys, problems);
+        check_unique("callers", "api_key", keys, problems);
         for (index, model) in self.models.iter().enumerate() {
             let list = format!("models[{index}].adapters");
             let adapters = model.adapters.iter().map(|adapter| &adapter.name);
-            unique(&list, "name", adapters, problems);
+            check_unique(&list, "name", adapters, problems);
             if model.weights_mib == 0 {
                 let field = format!("models[{index}].weights_mib");
                 problems.push(Problem::new(field, "must be at least 1"));
@@ -116,29 +116,31 @@
         }
     }
 
-    /// Engines name artifacts `model@version`, so a version can hold no `@`.
+    /// Checks the versions of models and adapters. Engines name artifacts `model@version`, so a
+    /// version must not contain `@`.
     fn check_versions(&self, problems: &mut Vec<Problem>) {
         let mut check = |field: String, version: &Name| {
             if version.is_empty() || version.contains('@') {
-                problems.push(Problem::new(field, "must not be empty or hold @"));
+                problems.push(Problem::new(field, "must not be empty or contain @"));
             }
         };
         for (index, model) in self.models.iter().enumerate() {
             check(format!("models[{index}].version"), &model.version);
-            for (place, adapter) in model.adapters.iter().enumerate() {
-                let field = format!("models[{index}].adapters[{place}].version");
+            for (adapter_index, adapter) in model.adapters.iter().enumerate() {
+                let field = format!("models[{index}].adapters[{adapter_index}].version");
                 check(field, &adapter.version);
             }
         }
     }
 
-    /// Two names for one engine would count its memory twice.
+    /// Checks that no two runners share an address: the memory of the one engine behind it would
+    /// be counted twice.
     fn check_addresses(&self, problems: &mut Vec<Problem>) {
         let mut seen = HashSet::new();
         for (index, server) in self.backend_servers.iter().enumerate() {
             if server.duty == Duty::Runner && !seen.insert(server.address) {
                 let field = format!("backend_servers[{index}].address");
-                problems.push(Problem::new(field, "is that of another runner too"));
+                problems.push(Problem::new(field, "is also the address of another runner"));
             }
         }
     }
@@ -147,59 +149,61 @@
         for (index, service) in self.services.iter().enumerate() {
             let field = |field: &str| format!("services[{index}].{field}");
             if !service.path.starts_with('/') || service.path == "/" {
-                let message = "must start with / and name a route";
+                let message = "must start with / and be more than just /";
                 problems.push(Problem::new(field("path"), message));
             }
             if service.backend_servers.is_empty() {
                 problems.push(Problem::new(field("backend_servers"), "must not be empty"));
             }
-            for (place, name) in service.backend_servers.iter().enumerate() {
+            for (server_index, name) in service.backend_servers.iter().enumerate() {
                 let message = match self.backend_server(name) {
                     Some(server) if server.duty == Duty::Service => continue,
                     Some(_) => format!("{name} has duty runner, not service"),
                     None => format!("{name} is not among backend_servers"),
                 };
-                let field = field(&format!("backend_servers[{place}]"));
+                let field = field(&format!("backend_servers[{server_index}]"));
                 problems.push(Problem::new(field, message));
             }
         }
     }
 
+    /// Checks that the minimum number of replicas fits into the memory of all runners that are not
+    /// leaving, and each model into that of the largest one.
     fn check_memory(&self, problems: &mut Vec<Problem>) {
         if self.models.is_empty() {
             return;
         }
-        let room_mib: u64 = self
+        let capacity_mib: u64 = self
             .runners()
             .filter(|runner| !runner.leaving)
-            .map(BackendServer::weights_room_mib)
+            .map(BackendServer::weights_capacity_mib)
             .sum();
-        let need_mib: u64 = self
+        let required_mib: u64 = self
             .models
             .iter()
             .map(|model| model.resident_mib() * u64::from(model.min_replicas))
             .sum();
-        if need_mib > room_mib {
+        if required_mib > capacity_mib {
             let message = format!(
-                "do not fit: {} models need {need_mib} MiB (weights and adapters, times \
-                 min_replicas), runners that stay have {room_mib} MiB (memory_mib - kv_mib); \
-                 {} MiB are missing",
+                "do not fit: {} models need {required_mib} MiB (weights and adapters, times \
+                 min_replicas), runners that are not leaving have {capacity_mib} MiB \
+                 (memory_mib - kv_mib), which is {} MiB too little",
                 self.models.len(),
-                need_mib - room_mib
+                required_mib - capacity_mib
             );
             problems.push(Problem::new("models", message));
         }
         let largest_mib = self
             .runners()
             .filter(|runner| !runner.leaving)
-            .map(BackendServer::weights_room_mib)
+            .map(BackendServer::weights_capacity_mib)
             .max()
             .unwrap_or(0);
         for (index, model) in self.models.iter().enumerate() {
             if model.resident_mib() > largest_mib {
                 let message = format!(
                     "{} does not fit: it needs {} MiB with its adapters, the largest runner that \
-                     stays has {largest_mib} MiB",
+                     is not leaving has {largest_mib} MiB",
                     model.name,
                     model.resident_mib()
                 );
@@ -223,7 +227,8 @@
     }
 }
 
-fn unique<'a>(
+/// Checks that the names of a list are unique and not empty.
+fn check_unique<'a>(
     list: &str,
     field: &str,
     names: impl Iterator<Item = &'a Name>,
--- a/src/inventory/model.rs
+++ b/src/inventory/model.rs
@@ -3,20 +3,20 @@
 use super::Name;
 use serde::{Deserialize, Serialize};
 
-/// A model in one version.
+/// A model with the version to serve.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The name callers use.
+    /// The name that callers use in requests.
     pub name: Name,
-    /// The version in force.
+    /// The version to serve.
     pub version: Name,
-    /// Accelerator memory of the weights.
+    /// The accelerator memory of the weights, in MiB.
     pub weights_mib: u64,
-    /// Adapters over the weights; each must be resident with the model.
+    /// Adapters of the model; all of them are loaded with each copy of the model.
     #[serde(default)]
     pub adapters: Vec<Adapter>,
-    /// Copies kept at least.
+    /// The minimum number of copies to keep loaded.
     #[serde(default = "default_min_replicas")]
     pub min_replicas: u32,
 }
@@ -29,16 +29,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// The name within the model.
+    /// The adapter's name, unique within its model.
     pub name: Name,
-    /// The version in force.
+    /// The version to serve.
     pub version: Name,
-    /// Accelerator memory of the adapter.
+    /// The accelerator memory of the adapter, in MiB.
     pub weights_mib: u64,
 }
 
 impl Model {
-    /// Memory of one copy with all its adapters.
+    /// The memory of one copy with all its adapters, in MiB.
     pub fn resident_mib(&self) -> u64 {
         let adapters_mib: u64 = self
             .adapters
--- a/src/inventory/problem.rs
+++ b/src/inventory/problem.rs
@@ -1,18 +1,18 @@
-//! What is wrong with settings or an inventory.
+//! Validation errors of settings and inventories.
 
 use std::fmt;
 
-/// One thing that is wrong, with its field.
+/// One validation error and the field that it is about.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Problem {
-    /// The field, such as `models[3].weights_mib`; empty for the whole.
+    /// The path of the field, such as `models[3].weights_mib`; empty for the whole document.
     pub field: String,
-    /// What is wrong with it.
+    /// The description of the error.
     pub message: String,
 }
 
 impl Problem {
-    /// A problem of one field.
+    /// Creates a problem of one field.
     pub(crate) fn new(field: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             field: field.into(),
--- a/src/inventory/rules.rs
+++ b/src/inventory/rules.rs
@@ -1,66 +1,68 @@
-//! Rules on priority and placement.
+//! Rules for priorities, routing, admission and placement.
 
 use super::{Priority, Problem};
 use serde::{Deserialize, Serialize};
 
-/// Rules on top of the asset register.
+/// Rules that operators set in addition to the contents of the asset register.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
     /// The priority of requests without an API key; `None` refuses them.
     pub anonymous_priority: Option<Priority>,
-    /// Whether copies of a model are put into different availability zones first.
+    /// Whether copies of a model are preferably placed in different availability zones.
     pub spread_zones: bool,
-    /// When a move is worth its cost.
+    /// The costs that decide whether a move is worthwhile.
     pub moves: MovePolicy,
-    /// How a runner is chosen.
+    /// How a runner is chosen for a request.
     pub routing: RoutingRule,
-    /// How copies follow the demand.
+    /// How the copies of models follow the demand.
     pub placement: PlacementRule,
-    /// The part of a runner's slots up to which batch requests may fill it; 1 for no limit.
+    /// The fraction of a runner's slots that may be in use once a batch request is added; 1 for
+    /// no limit. The rest stays free for urgent requests.
     pub batch_fill: f64,
-    /// Whether batch requests that run give up their slots, and go on later, while urgent ones
-    /// wait.
+    /// Whether running batch requests release their slots to waiting urgent requests and continue
+    /// later.
     pub batch_yields: bool,
-    /// Whether requests are refused that cannot meet their deadlines.
+    /// Whether requests that cannot meet their deadlines are refused at once.
     pub admission: AdmissionRule,
 }
 
-/// Whether requests are refused that cannot meet their deadlines.
+/// Whether requests that cannot meet their deadlines are refused at once.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdmissionRule {
-    /// Every request is taken; it is refused once its deadline has passed.
+    /// Every request is admitted, and refused only when its deadline has passed.
     Unlimited,
-    /// A request that is not expected to meet its deadlines is refused at once.
+    /// A request that is not expected to meet its deadlines is refused on arrival.
     #[default]
     Deadline,
 }
 
-/// How a runner is chosen among those that hold what a request needs.
+/// How a runner is chosen among those that have the model and adapter of a request loaded.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RoutingRule {
-    /// The fewest requests in flight per slot, own and as peers tell in heartbeats.
+    /// The runner with the fewest requests in flight per slot, counting this VM's requests and
+    /// those that peers report in heartbeats.
     #[default]
     LeastInFlight,
-    /// The fewest requests running and waiting per slot, as the runner's report says.
+    /// The runner with the fewest running and waiting requests per slot by its own report.
     LeastReported,
-    /// Each in turn.
+    /// Every runner in rotation.
     RoundRobin,
 }
 
-/// How copies follow the demand.
+/// How the copies of models follow the demand.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementRule {
-    /// First copies, then spare ones; demand changes nothing.
+    /// Places the required copies, then spare ones; demand has no influence.
     Static,
-    /// One more copy where what it gains over the pay-back time beats the moves' cost.
+    /// Adds a copy where its benefit over the payback time exceeds the cost of the moves.
     #[default]
     Demand,
-    /// A copy as soon as requests exceed the slots of those there are, in the place of the
-    /// least recently used.
+    /// Adds a copy as soon as a model's requests exceed the slots of its copies, and evicts the
+    /// least recently used model for it.
     OnDemand,
 }
 
@@ -80,28 +82,31 @@
 }
 
 impl Rules {
+    /// Appends a problem for each value that is out of range.
     pub(crate) fn check(&self, problems: &mut Vec<Problem>) {
         self.moves.check(problems);
         if !(self.batch_fill > 0.0 && self.batch_fill <= 1.0) {
-            let message = "must be a number above 0, at most 1";
+            let message = "must be a number above 0 and at most 1";
             problems.push(Problem::new("rules.batch_fill", message));
         }
     }
 }
 
-/// What a move costs against what it gains.
+/// The cost of a move, which is the load or unload of a model on one runner, and the benefit that
+/// is required of it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MovePolicy {
-    /// Requests that a move must serve better, over the time to pay back, to be worth it.
+    /// The cost of a move: the number of requests it must improve within `payback_ms`.
     pub cost_requests: f64,
-    /// The time over which a move must pay back.
+    /// The time in which the benefit of a move must reach its cost, in milliseconds.
     pub payback_ms: u64,
-    /// Hours of the day, UTC, in which moves cost `busy_factor` times as much.
+    /// Hours of the day (UTC, 0 to 23) in which moves cost `busy_factor` times as much.
     pub busy_hours: Vec<u8>,
-    /// The factor for moves in busy hours.
+    /// The factor on the cost of moves in busy hours.
     pub busy_factor: f64,
-    /// The factor by which urgent demand may rise at once; copies are made ahead for it.
+    /// The factor by which urgent demand may rise suddenly; enough copies for that are loaded in
+    /// advance.
     pub burst_factor: f64,
 }
 
--- a/src/inventory/service.rs
+++ b/src/inventory/service.rs
@@ -7,16 +7,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainService {
-    /// The name in the asset register.
+    /// The service's name in the asset register.
     pub name: Name,
-    /// The path prefix of its routes, such as `/receipts`.
+    /// The path prefix of the service's routes, such as `/receipts`.
     pub path: Name,
-    /// Whether its `POST`, `PUT`, `PATCH` and `DELETE` calls may be repeated.
+    /// Whether `POST`, `PUT`, `PATCH` and `DELETE` calls to the service may be retried.
     #[serde(default)]
     pub idempotent: bool,
-    /// The backend servers that run it.
+    /// The names of the backend servers that run the service.
     pub backend_servers: Vec<Name>,
-    /// How long one attempt may take.
+    /// The timeout of one attempt, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -26,8 +26,8 @@
 }
 
 impl PlainService {
-    /// Whether `path` is the service's path or lies below it.
-    pub fn covers(&self, path: &str) -> bool {
+    /// Whether `path` is the service's path or a path below it.
+    pub fn matches_path(&self, path: &str) -> bool {
         path.strip_prefix(self.path.as_str())
             .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -291,7 +291,7 @@
                         "leaving": server.leaving || self.membership.is_server_leaving(&server.name),
                         "running": load.map(|(running, _)| running),
                         "waiting": load.map(|(_, waiting)| waiting),
-                        "room_mib": server.weights_room_mib(),
+                        "room_mib": server.weights_capacity_mib(),
                         "taken_mib": ledger.taken_mib(),
                         "copies": ledger.copies.iter().map(|(artifact, copy)| json!({
                             "artifact": artifact.to_string(), "mib": copy.mib,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -149,7 +149,7 @@
             .map(|(_, mib)| mib)
             .sum();
         runner
-            .weights_room_mib()
+            .weights_capacity_mib()
             .saturating_sub(ledger.taken_mib() + owed_mib)
     }
 
@@ -180,7 +180,7 @@
                             runner: runner.name.clone(),
                             artifact,
                             mib,
-                            room_mib: runner.weights_room_mib(),
+                            room_mib: runner.weights_capacity_mib(),
                             reason: "adapter_missing",
                             others: String::new(),
                         });
@@ -228,7 +228,7 @@
                     runner: runner.name.clone(),
                     artifact: Self::artifact(model),
                     mib: model.weights_mib,
-                    room_mib: runner.weights_room_mib(),
+                    room_mib: runner.weights_capacity_mib(),
                     reason,
                     others,
                 });
--- a/src/placement/eviction.rs
+++ b/src/placement/eviction.rs
@@ -43,7 +43,7 @@
         }
         let mut overfull = self.runners.iter().map(|runner| {
             let taken_mib = self.ledger(runner).taken_mib();
-            let over_mib = taken_mib.saturating_sub(runner.weights_room_mib());
+            let over_mib = taken_mib.saturating_sub(runner.weights_capacity_mib());
             self.spares(runner, over_mib, "memory_made_smaller").1
         });
         overfull
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -277,7 +277,7 @@
                 runner: gain.runner.name.clone(),
                 artifact: Self::artifact(gain.model),
                 mib: gain.model.weights_mib,
-                room_mib: gain.runner.weights_room_mib(),
+                room_mib: gain.runner.weights_capacity_mib(),
                 reason,
                 others: format!("gain_slots:{:.1}", gain.slots),
             }];
