--- a/src/check.rs
+++ b/src/check.rs
@@ -1,4 +1,7 @@
-//! Checking JSON files: everything that is wrong at once, each with its field and line.
+//! Validation of JSON files that reports every problem at once, each with its field and line.
+//!
+//! The deserializer stops at the first error. The invalid part is therefore replaced by a valid
+//! placeholder and the document deserialized again, until no error is left.
 
 use crate::error::Fault;
 use crate::inventory::Problem;
@@ -10,26 +13,26 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Errors of shape that are told at once.
+/// The maximum number of deserialization errors reported for one file.
 const MAX_PROBLEMS: usize = 100;
 
-/// Reads a file and checks it whole.
+/// Reads a JSON file and validates it with `validate`.
 ///
 /// # Errors
 ///
-/// Fails with a line for each problem.
+/// Fails if the file cannot be read or is not valid; the report has a line for each problem.
 pub(crate) fn load<T: DeserializeOwned>(
     path: &Path,
-    rules: impl Fn(&T) -> Vec<Problem>,
+    validate: impl Fn(&T) -> Vec<Problem>,
 ) -> Result<T, Report<Fault>> {
     let text = std::fs::read_to_string(path)
         .change_context(Fault::Settings)
         .attach_with(|| format!("{} cannot be read", path.display()))?;
-    read(&text, rules).map_err(|problems| {
+    parse(&text, validate).map_err(|problems| {
         let lines: Vec<String> = problems
             .iter()
             .map(|problem| {
-                let line = line_of(&text, &problem.field);
+                let line = line_of_field(&text, &problem.field);
                 format!("{}:{line}: {problem}", path.display())
             })
             .collect();
@@ -37,20 +40,20 @@
     })
 }
 
-/// Reads a text whole, or tells all that is wrong with it.
-fn read<T: DeserializeOwned>(
+/// Deserializes and validates a JSON text, or returns every problem with it.
+fn parse<T: DeserializeOwned>(
     text: &str,
-    rules: impl Fn(&T) -> Vec<Problem>,
+    validate: impl Fn(&T) -> Vec<Problem>,
 ) -> Result<T, Vec<Problem>> {
     let mut value: Value =
         serde_json::from_str(text).map_err(|error| vec![Problem::new("", error.to_string())])?;
     let mut problems = Vec::new();
     while problems.len() < MAX_PROBLEMS {
         let error = match serde_path_to_error::deserialize(value.clone()) {
-            Ok(read) if problems.is_empty() => {
-                problems = rules(&read);
+            Ok(parsed) if problems.is_empty() => {
+                problems = validate(&parsed);
                 return if problems.is_empty() {
-                    Ok(read)
+                    Ok(parsed)
                 } else {
                     Err(problems)
                 };
@@ -61,28 +64,29 @@
         let path = error.path().to_string();
         let path = if path == "." { String::new() } else { path };
         let message = error.into_inner().to_string();
-        // Once mended, the next error shows.
-        let mended = mend(&mut value, &path, &message);
-        problems.push(Problem::new(mended.as_deref().unwrap_or(&path), message));
-        if mended.is_none() {
+        // With this error out of the way, the next pass finds the next one.
+        let repaired = repair(&mut value, &path, &message);
+        problems.push(Problem::new(repaired.as_deref().unwrap_or(&path), message));
+        if repaired.is_none() {
             break;
         }
     }
     Err(problems)
 }
 
-/// Puts something valid in place of an error; the field that it was in.
-fn mend(value: &mut Value, path: &str, message: &str) -> Option<String> {
+/// Replaces the part of `value` that caused an error by a valid one and returns the path of the
+/// field; `None` if that is not possible. The kind of error is known from serde's message.
+fn repair(value: &mut Value, path: &str, message: &str) -> Option<String> {
     let quoted = message.split('`').nth(1);
     if message.starts_with("missing field") {
-        let object = find(value, path)?.as_object_mut()?;
-        object.insert(quoted?.to_owned(), sample(quoted?)?);
+        let object = value_at(value, path)?.as_object_mut()?;
+        object.insert(quoted?.to_owned(), placeholder(quoted?)?);
         return Some(path.to_owned());
     }
     if message.starts_with("unknown field") {
         let parent = path.strip_suffix(quoted?).unwrap_or(path);
         let parent = parent.trim_end_matches('.');
-        let object = find(value, parent)?.as_object_mut()?;
+        let object = value_at(value, parent)?.as_object_mut()?;
         object.remove(quoted?)?;
         return Some(join(parent, quoted?));
     }
@@ -91,12 +95,13 @@
     let replaced = if last.ends_with(']') && field_is_list_of_objects(field) {
         Value::Object(serde_json::Map::new())
     } else {
-        sample(field).filter(|_| !last.ends_with(']'))?
+        placeholder(field).filter(|_| !last.ends_with(']'))?
     };
-    *find(value, path)? = replaced;
+    *value_at(value, path)? = replaced;
     Some(path.to_owned())
 }
 
+/// Whether the elements of a list field are objects.
 fn field_is_list_of_objects(field: &str) -> bool {
     let row = FIELDS.iter().find(|row| row.field == field);
     row.is_some_and(|row| row.allowed.starts_with("list of") && !row.allowed.contains("name"))
@@ -110,8 +115,8 @@
     }
 }
 
-/// A valid value of a field.
-fn sample(field: &str) -> Option<Value> {
+/// Returns a valid value for a field.
+fn placeholder(field: &str) -> Option<Value> {
     let row = FIELDS.iter().find(|row| row.field == field)?;
     if !row.default.is_empty() {
         return serde_json::from_str(row.default).ok();
@@ -125,43 +130,46 @@
     })
 }
 
-/// One step of a path: a field or a place in a list.
-enum Step<'a> {
+/// One segment of a field path: a field name or a list index.
+enum Segment<'a> {
     Field(&'a str),
-    Place(usize),
+    Index(usize),
 }
 
-fn steps(path: &str) -> impl Iterator<Item = Step<'_>> {
+/// Splits a path such as `models[3].name`.
+fn segments(path: &str) -> impl Iterator<Item = Segment<'_>> {
     path.split(['.', '['])
         .filter(|part| !part.is_empty())
         .map(|part| {
             part.strip_suffix(']')
-                .and_then(|place| place.parse().ok())
-                .map_or(Step::Field(part), Step::Place)
+                .and_then(|index| index.parse().ok())
+                .map_or(Segment::Field(part), Segment::Index)
         })
 }
 
-fn find<'a>(value: &'a mut Value, path: &str) -> Option<&'a mut Value> {
-    steps(path).try_fold(value, |value, step| match step {
-        Step::Field(field) => value.get_mut(field),
-        Step::Place(place) => value.get_mut(place),
+/// Returns the value at a path.
+fn value_at<'a>(value: &'a mut Value, path: &str) -> Option<&'a mut Value> {
+    segments(path).try_fold(value, |value, segment| match segment {
+        Segment::Field(field) => value.get_mut(field),
+        Segment::Index(index) => value.get_mut(index),
     })
 }
 
-/// The line on which a field's value begins, or that of the nearest object around it.
-fn line_of(text: &str, path: &str) -> usize {
+/// Returns the line on which a field's value begins, or that of the nearest enclosing value if the
+/// field is missing. Lines are counted from 1; for malformed JSON it is the line of the error.
+fn line_of_field(text: &str, path: &str) -> usize {
     let Ok(mut raw) = serde_json::from_str::<&RawValue>(text) else {
         let error = serde_json::from_str::<Value>(text).err();
         return error.map_or(1, |error| error.line());
     };
-    for step in steps(path) {
-        let inner = match step {
-            Step::Field(field) => serde_json::from_str::<BTreeMap<String, &RawValue>>(raw.get())
+    for segment in segments(path) {
+        let inner = match segment {
+            Segment::Field(field) => serde_json::from_str::<BTreeMap<String, &RawValue>>(raw.get())
                 .ok()
                 .and_then(|fields| fields.get(field).copied()),
-            Step::Place(place) => serde_json::from_str::<Vec<&RawValue>>(raw.get())
+            Segment::Index(index) => serde_json::from_str::<Vec<&RawValue>>(raw.get())
                 .ok()
-                .and_then(|items| items.get(place).copied()),
+                .and_then(|items| items.get(index).copied()),
         };
         let Some(inner) = inner else { break };
         raw = inner;
--- a/src/config.rs
+++ b/src/config.rs
@@ -14,34 +14,34 @@
 pub struct Config {
     /// The VM's name in the platform's VM list.
     pub vm: Name,
-    /// Where the VM stands.
+    /// The availability zone of the VM.
     pub availability_zone: Name,
-    /// Where callers are served.
+    /// The address that callers connect to.
     pub caller_address: SocketAddr,
-    /// Where operators, health checks and metrics are served.
+    /// The address for operators, health checks and metrics.
     pub operator_address: SocketAddr,
-    /// Where other VMs connect.
+    /// The address that other VMs connect to.
     pub peer_address: SocketAddr,
-    /// The platform's log service.
+    /// The address of the platform's log service.
     pub log_address: SocketAddr,
-    /// The platform's VM list.
+    /// The address of the platform's VM list.
     pub vm_list_address: SocketAddr,
-    /// How long the log keeps records.
+    /// How long the platform's log keeps records, in milliseconds.
     #[serde(default = "default_log_retention_ms")]
     pub log_retention_ms: u64,
-    /// Appends a second that all VMs together make for idempotency keys, at most.
+    /// The maximum number of appends per second for idempotency keys, over all VMs.
     #[serde(default = "default_key_appends_per_s")]
     pub key_appends_per_s: u32,
-    /// How long health answers fail before listeners close.
+    /// How long health checks fail before the listeners close, in milliseconds.
     #[serde(default = "default_drain_grace_ms")]
     pub drain_grace_ms: u64,
-    /// How long open requests may take to end after that.
+    /// How long open requests may take to finish once the listeners are closed, in milliseconds.
     #[serde(default = "default_drain_limit_ms")]
     pub drain_limit_ms: u64,
-    /// The largest request body.
+    /// The maximum size of a request body, in bytes.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: usize,
-    /// What is logged: off, error, warn, info, debug or trace.
+    /// The log level: off, error, warn, info, debug or trace.
     #[serde(default = "default_log_level")]
     pub log_level: log::LevelFilter,
 }
@@ -71,16 +71,17 @@
 }
 
 impl Config {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Names the field, the line and what is allowed, for everything that is wrong.
+    /// Fails if the file cannot be read or is not valid. The report has a line for each problem,
+    /// with its field, its line and the allowed values.
     pub fn load(path: &Path) -> Result<Self, Report<Fault>> {
         check::load(path, Self::problems)
     }
 
-    /// Everything that is out of range.
+    /// Checks the values and returns every problem found.
     pub fn problems(&self) -> Vec<Problem> {
         let mut problems = Vec::new();
         if self.vm.is_empty() {
@@ -89,23 +90,23 @@
         if self.availability_zone.is_empty() {
             problems.push(Problem::new("availability_zone", "must not be empty"));
         }
-        let mut range = |field: &str, value: u64, low: u64, high: u64| {
+        let mut check_range = |field: &str, value: u64, low: u64, high: u64| {
             if !(low..=high).contains(&value) {
-                let message = format!("is {value}, allowed are {low} to {high}");
+                let message = format!("is {value}, must be from {low} to {high}");
                 problems.push(Problem::new(field, message));
             }
         };
-        range(
+        check_range(
             "log_retention_ms",
             self.log_retention_ms,
             10_000,
             1_000_000_000_000,
         );
         let key_appends_per_s = u64::from(self.key_appends_per_s);
-        range("key_appends_per_s", key_appends_per_s, 1, 1_000_000);
-        range("drain_grace_ms", self.drain_grace_ms, 0, 600_000);
-        range("drain_limit_ms", self.drain_limit_ms, 0, 3_600_000);
-        range("max_body_bytes", self.max_body_bytes as u64, 1_024, 1 << 30);
+        check_range("key_appends_per_s", key_appends_per_s, 1, 1_000_000);
+        check_range("drain_grace_ms", self.drain_grace_ms, 0, 600_000);
+        check_range("drain_limit_ms", self.drain_limit_ms, 0, 3_600_000);
+        check_range("max_body_bytes", self.max_body_bytes as u64, 1_024, 1 << 30);
         problems
     }
 }
--- a/src/reference.rs
+++ b/src/reference.rs
@@ -1,18 +1,19 @@
-//! The reference of settings and of the inventory; docs/CONFIG.md shows the same.
+//! The reference of all fields of the settings and the inventory. docs/CONFIG.md shows the same
+//! rows.
 
 /// One field of the settings or the inventory.
 #[derive(Clone, Copy, Debug)]
 pub struct FieldRow {
-    /// The object that holds the field.
+    /// The object that the field belongs to.
     pub object: &'static str,
-    /// The field.
+    /// The name of the field.
     pub field: &'static str,
-    /// The default, in JSON; empty for a field that must be given.
+    /// The default value in JSON; empty for a required field.
     pub default: &'static str,
-    /// What is allowed, with the unit.
+    /// The allowed values, with the unit.
     pub allowed: &'static str,
-    /// What the field means.
-    pub text: &'static str,
+    /// The meaning of the field.
+    pub description: &'static str,
 }
 
 const fn row(
@@ -20,14 +21,14 @@
     field: &'static str,
     default: &'static str,
     allowed: &'static str,
-    text: &'static str,
+    description: &'static str,
 ) -> FieldRow {
     FieldRow {
         object,
         field,
         default,
         allowed,
-        text,
+        description,
     }
 }
 
@@ -36,7 +37,7 @@
 const MIB: &str = "MiB, 0 or more";
 const BOOL: &str = "true or false";
 
-/// Every field of a VM's settings and of the inventory.
+/// All fields of a VM's settings and of the inventory.
 pub const FIELDS: &[FieldRow] = &[
     row(
         "settings",
@@ -50,91 +51,91 @@
         "availability_zone",
         "",
         NAME,
-        "where the VM stands",
+        "the availability zone of the VM",
     ),
     row(
         "settings",
         "caller_address",
         "",
         ADDRESS,
-        "where callers are served",
+        "the address that callers connect to",
     ),
     row(
         "settings",
         "operator_address",
         "",
         ADDRESS,
-        "where operators, health checks and metrics are served",
+        "the address for operators, health checks and metrics",
     ),
     row(
         "settings",
         "peer_address",
         "",
         ADDRESS,
-        "where other VMs connect",
+        "the address that other VMs connect to",
     ),
     row(
         "settings",
         "log_address",
         "",
         ADDRESS,
-        "the platform's log service",
+        "the address of the platform's log service",
     ),
     row(
         "settings",
         "vm_list_address",
         "",
         ADDRESS,
-        "the platform's VM list",
+        "the address of the platform's VM list",
     ),
     row(
         "settings",
         "log_retention_ms",
         "3600000",
         "10000 to 1000000000000 ms",
-        "how long the log keeps records",
+        "how long the platform's log keeps records",
     ),
     row(
         "settings",
         "key_appends_per_s",
         "240",
         "1 to 1000000",
-        "appends a second that all VMs together make for idempotency keys, at most",
+        "the maximum number of appends per second for idempotency keys, over all VMs",
     ),
     row(
         "settings",
         "drain_grace_ms",
         "2000",
         "0 to 600000 ms",
-        "how long health answers fail before listeners close",
+        "how long health checks fail before the listeners close",
     ),
     row(
         "settings",
         "drain_limit_ms",
         "120000",
         "0 to 3600000 ms",
-        "how long open requests may take to end after that",
+        "how long open requests may take to finish once the listeners are closed",
     ),
     row(
         "settings",
         "max_body_bytes",
         "4194304",
         "1024 to 1073741824 bytes",
-        "the largest request body",
+        "the maximum size of a request body",
     ),
     row(
         "settings",
         "log_level",
         "\"INFO\"",
         "off, error, warn, info, debug or trace",
-        "what is logged",
+        "the log level",
     ),
     row(
         "inventory",
         "models",
         "[]",
         "list of model",
-        "the models, each with its adapters",
+        "models with their adapters",
     ),
     row(
         "inventory",
@@ -155,37 +156,43 @@
         "callers",
         "[]",
         "list of caller",
-        "callers known by their API keys",
+        "callers, identified by their API keys",
     ),
     row(
         "inventory",
         "rules",
         "{}",
         "rules",
-        "rules on priority and placement",
+        "rules for priorities, routing and placement",
     ),
-    row("model", "name", "", NAME, "the name callers use"),
-    row("model", "version", "", NAME, "the version in force"),
+    row(
+        "model",
+        "name",
+        "",
+        NAME,
+        "the name that callers use in requests",
+    ),
+    row("model", "version", "", NAME, "the version to serve"),
     row(
         "model",
         "weights_mib",
         "",
         "MiB, 1 or more",
-        "accelerator memory of the weights",
+        "the accelerator memory of the weights",
     ),
     row(
         "model",
         "adapters",
         "[]",
         "list of adapter",
-        "adapters over the weights; each is resident with the model",
+        "adapters of the model; all of them are loaded with each copy of the model",
     ),
     row(
         "model",
         "min_replicas",
         "1",
         "copies, 0 or more",
-        "copies kept at least",
+        "the minimum number of copies to keep loaded",
     ),
     row(
         "adapter",
@@ -194,42 +201,48 @@
         NAME,
         "the name within the model; callers use model/adapter",
     ),
-    row("adapter", "version", "", NAME, "the version in force"),
+    row("adapter", "version", "", NAME, "the version to serve"),
     row(
         "adapter",
         "weights_mib",
         "",
         MIB,
-        "accelerator memory of the adapter",
+        "the accelerator memory of the adapter",
     ),
     row(
         "backend_server",
         "name",
         "",
         NAME,
-        "the name in the asset register, also used in the VM list",
+        "the server's name in the asset register and in the VM list",
     ),
     row(
         "backend_server",
         "duty",
         "",
         "runner or service",
-        "what it does",
+        "whether the server runs models or a plain service",
+    ),
+    row(
+        "backend_server",
+        "address",
+        "",
+        ADDRESS,
+        "the address the server listens on",
     ),
-    row("backend_server", "address", "", ADDRESS, "where it listens"),
     row(
         "backend_server",
         "availability_zone",
         "",
         NAME,
-        "where it stands",
+        "the availability zone of the server",
     ),
     row(
         "backend_server",
         "group",
         "\"main\"",
         NAME,
-        "the group of runners that is planned together",
+        "the group of the runner; placement is planned for each group separately",
     ),
     row(
         "backend_server",
@@ -243,63 +256,63 @@
         "kv_mib",
         "0",
         "MiB, below memory_mib",
-        "the part of the memory kept for KV cache",
+        "the part of memory_mib reserved for the KV cache",
     ),
     row(
         "backend_server",
         "slots",
         "16",
         "requests, 0 or more",
-        "requests that run at once without slowing each other below target",
+        "requests that can run concurrently without falling below the target speed",
     ),
     row(
         "backend_server",
         "checks_fencing",
         "false",
         BOOL,
-        "whether the engine refuses an order with an old fencing number",
+        "whether the engine refuses an order with an outdated fencing token",
     ),
     row(
         "backend_server",
         "leaving",
         "false",
         BOOL,
-        "whether it is leaving: it gets no new work",
+        "whether the server is leaving; a leaving server gets no new work",
     ),
     row(
         "service",
         "name",
         "",
         NAME,
-        "the name in the asset register",
+        "the service's name in the asset register",
     ),
     row(
         "service",
         "path",
         "",
         "path below /",
-        "the path prefix of its routes, such as /receipts",
+        "the path prefix of the service's routes, such as /receipts",
     ),
     row(
         "service",
         "idempotent",
         "false",
         BOOL,
-        "whether its POST, PUT, PATCH and DELETE calls may be repeated",
+        "whether POST, PUT, PATCH and DELETE calls to the service may be retried",
     ),
     row(
         "service",
         "backend_servers",
         "",
         "list of names, not empty",
-        "the backend servers that run it",
+        "the names of the backend servers that run the service",
     ),
     row(
         "service",
         "timeout_ms",
         "5000",
         "ms, 0 or more",
-        "how long one attempt may take",
+        "the timeout of one attempt",
     ),
     row("caller", "name", "", NAME, "the caller's name"),
     row(
@@ -314,14 +327,14 @@
         "priority",
         "\"normal\"",
         "urgent, normal or batch",
-        "how urgent its requests are",
+        "the priority of the caller's requests",
     ),
     row(
         "caller",
         "deadline_ms",
         "30000",
         "ms, 0 or more",
-        "the deadline for the whole answer, unless a request states its own",
+        "the deadline for the whole response, unless a request sets its own",
     ),
     row(
         "caller",
@@ -335,7 +348,7 @@
         "max_concurrent",
         "0",
         "requests, 0 for no limit",
-        "requests at once over one VM",
+        "the maximum number of requests in flight on one VM",
     ),
     row(
         "rules",
@@ -349,42 +362,42 @@
         "spread_zones",
         "true",
         BOOL,
-        "whether copies of a model are put into different availability zones first",
+        "whether copies of a model are preferably placed in different availability zones",
     ),
     row(
         "rules",
         "moves",
         "{}",
         "moves",
-        "when a move is worth its cost",
+        "the costs that decide whether a move is worthwhile",
     ),
     row(
         "rules",
         "routing",
         "\"least_in_flight\"",
         "least_in_flight, least_reported or round_robin",
-        "how a runner is chosen",
+        "how a runner is chosen for a request",
     ),
     row(
         "rules",
         "placement",
         "\"demand\"",
         "demand, on_demand or static",
-        "how copies follow the demand",
+        "how the copies of models follow the demand",
     ),
     row(
         "rules",
         "batch_fill",
         "0.9",
-        "part, above 0, at most 1",
-        "the part of a runner's slots up to which batch may fill it",
+        "fraction above 0, at most 1",
+        "the fraction of a runner's slots that may be in use once a batch request is added",
     ),
     row(
         "rules",
         "batch_yields",
         "true",
         BOOL,
-        "whether batch that runs gives up its slot to urgent requests and goes on later",
+        "whether running batch requests release their slots to urgent ones and continue later",
     ),
     row(
         "rules",
@@ -398,34 +411,34 @@
         "cost_requests",
         "20.0",
         "requests, 0 or more",
-        "requests that a move must serve better to be worth it",
+        "the cost of a move: the number of requests it must improve within payback_ms",
     ),
     row(
         "moves",
         "payback_ms",
         "60000",
         "ms, 1 or more",
-        "the time over which a move must pay back",
+        "the time in which the benefit of a move must reach its cost",
     ),
     row(
         "moves",
         "busy_hours",
         "[]",
         "list of hours, 0 to 23, UTC",
-        "hours in which moves cost more",
+        "hours of the day in which moves cost busy_factor times as much",
     ),
     row(
         "moves",
         "busy_factor",
         "1.0",
         "factor, 1 or more",
-        "how much more moves cost in busy hours",
+        "the factor on the cost of moves in busy hours",
     ),
     row(
         "moves",
         "burst_factor",
         "2.0",
         "factor, 1 or more",
-        "how much urgent demand may rise at once; copies are made ahead for it",
+        "the factor by which urgent demand may rise suddenly; copies for it are loaded in advance",
     ),
 ];
--- a/tests/reference.rs
+++ b/tests/reference.rs
@@ -1,4 +1,4 @@
-//! The reference of settings and inventory is whole, and the page shows the same.
+//! The reference of settings and inventory is complete and agrees with docs/CONFIG.md.
 
 use googletest::prelude::*;
 use rattanjunction::{Config, FIELDS, Inventory};
@@ -6,13 +6,14 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value, json};
 
-/// The fields that an object has when only those without a default are given.
+/// Returns all fields of an object that was read from its required fields alone.
 fn defaults<T: DeserializeOwned + Serialize>(required: Value) -> Map<String, Value> {
-    let read: T = serde_json::from_value(required).expect("all that must be given is given");
-    let written = serde_json::to_value(read).expect("it serializes");
+    let parsed: T = serde_json::from_value(required).expect("all required fields are given");
+    let written = serde_json::to_value(parsed).expect("it serializes");
     written.as_object().cloned().expect("it is an object")
 }
 
+/// Returns all fields of the settings that result from the required fields alone.
 fn settings() -> Map<String, Value> {
     let address = "10.0.0.1:8000";
     defaults::<Config>(
@@ -22,7 +23,7 @@
     )
 }
 
-/// The objects of an inventory, each with nothing but what must be given.
+/// Returns an inventory with one or two objects of each kind, each from its required fields alone.
 fn inventory() -> Map<String, Value> {
     let server = json!({"name": "r", "duty": "runner", "address": "10.0.0.1:9000",
         "availability_zone": "z"});
@@ -36,6 +37,7 @@
     }))
 }
 
+/// Returns the fields of an object of the reference, with their defaults.
 fn object(name: &str) -> Map<String, Value> {
     let inventory = inventory();
     let found = match name {
@@ -69,7 +71,7 @@
         for row in rows.iter().filter(|row| !row.default.is_empty()) {
             let default: Value = serde_json::from_str(row.default).expect("defaults are JSON");
             let found = &object[row.field];
-            // Objects whose fields all have defaults are `{}` on the page.
+            // Objects whose fields all have defaults have the default `{}` in the reference.
             if default != json!({}) {
                 expect_that!(*found, eq(&default), "{name}.{}", row.field);
             }
@@ -78,17 +80,17 @@
 }
 
 #[googletest::test]
-fn fields_without_a_default_must_be_given() {
+fn fields_without_a_default_are_required() {
     for row in FIELDS.iter().filter(|row| row.object == "settings") {
         let mut given = settings();
         given.remove(row.field);
-        let read = serde_json::from_value::<Config>(Value::Object(given));
-        expect_that!(read.is_ok(), eq(!row.default.is_empty()), "{}", row.field);
+        let parsed = serde_json::from_value::<Config>(Value::Object(given));
+        expect_that!(parsed.is_ok(), eq(!row.default.is_empty()), "{}", row.field);
     }
 }
 
 #[googletest::test]
-fn ranges_of_settings_are_those_of_the_page() {
+fn settings_accept_exactly_the_ranges_of_the_reference() {
     for row in FIELDS.iter().filter(|row| row.object == "settings") {
         let Some((low, rest)) = row.allowed.split_once(" to ") else {
             continue;
@@ -119,7 +121,7 @@
         };
         let line = format!(
             "| `{}` | {default} | {} | {} |",
-            row.field, row.allowed, row.text
+            row.field, row.allowed, row.description
         );
         expect_that!(page, contains_substring(line));
     }
