--- a/src/arguments.rs
+++ b/src/arguments.rs
@@ -1,10 +1,10 @@
-//! The arguments of the command line.
+//! The definition of the command line.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Describes the command line.
+/// Returns the definition of the command line.
 pub fn command() -> Command {
     let via = Arg::new("via")
         .long("via")
@@ -22,8 +22,8 @@
         .subcommand_required(true)
         .arg_required_else_help(true)
         .after_help(
-            "Exit codes: 0 done, 2 invalid settings, inventory or arguments, 3 unreachable or \
-             address taken, 4 refused",
+            "Exit codes: 0 success, 2 invalid settings, inventory or arguments, 3 unreachable \
+             or address in use, 4 refused",
         )
         .subcommand(
             Command::new("serve").about("Run one VM of the system").arg(
@@ -37,19 +37,21 @@
         )
         .subcommand(
             Command::new("front")
-                .about("Run one VM on the users' platform, by the settings file that it names")
+                .about(
+                    "Run one VM on the users' platform, configured by the platform's settings file",
+                )
                 .arg(
                     Arg::new("metrics_port")
                         .long("metrics-port")
                         .value_name("PORT")
                         .value_parser(value_parser!(u16).range(1..))
-                        .help("Serve metrics at this port too, at /metrics"),
+                        .help("Also serve metrics on this port, at /metrics"),
                 ),
         )
         .subcommand(
             Command::new("publish")
-                .about("Put an inventory in force everywhere")
-                .arg(file("The inventory, in JSON"))
+                .about("Publish an inventory to all VMs")
+                .arg(file_argument("The inventory, in JSON"))
                 .arg(via.clone())
                 .arg(
                     Arg::new("base")
@@ -62,13 +64,15 @@
                     Arg::new("start_anew")
                         .long("start-anew")
                         .action(ArgAction::SetTrue)
-                        .help("Begin anew where the configuration was lost with the log's records"),
+                        .help("Start with an empty state if the log has lost the configuration"),
                 )
                 .arg(
                     Arg::new("dry_run")
                         .long("dry-run")
                         .action(ArgAction::SetTrue)
-                        .help("Show what would move and whether everything fits; change nothing"),
+                        .help(
+                            "Show the planned moves and whether everything fits, without changes",
+                        ),
                 ),
         )
         .subcommand(
@@ -80,43 +84,51 @@
                     Arg::new("watch")
                         .long("watch")
                         .action(ArgAction::SetTrue)
-                        .help("Look again every second"),
+                        .help("Refresh every second"),
                 ),
         )
         .subcommand(
             Command::new("explain")
-                .about("Tell why a request, model or runner was routed or placed as it was")
+                .about("Show the recent decisions about a request, model or runner")
                 .arg(
                     Arg::new("about")
                         .value_name("REQUEST-ID|MODEL|RUNNER")
                         .required(true)
-                        .help("What to explain, from the recent decisions of the asked VM"),
+                        .help(
+                            "The subject of the decisions; only those of the queried VM are shown",
+                        ),
                 )
                 .arg(via),
         )
         .subcommand(
             Command::new("import")
                 .about("Print an inventory with servers and models from an asset register in CSV")
-                .arg(csv("servers", "Backend servers, a row each"))
-                .arg(csv("models", "Models and adapters, a row each"))
+                .arg(csv_argument(
+                    "servers",
+                    "CSV file with one backend server per row",
+                ))
+                .arg(csv_argument(
+                    "models",
+                    "CSV file with one model or adapter per row",
+                ))
                 .arg(
                     Arg::new("into")
                         .long("into")
                         .value_name("FILE")
                         .value_parser(value_parser!(PathBuf))
-                        .help("The inventory, in JSON, that gives all the rest"),
+                        .help("Inventory in JSON that supplies everything not imported"),
                 ),
         )
         .subcommand(
             Command::new("check")
-                .about("Check an inventory or settings and print all that is wrong")
-                .arg(file(
+                .about("Check an inventory or settings and print every problem")
+                .arg(file_argument(
                     "An inventory or settings in JSON, or a platform's settings in TOML",
                 )),
         )
         .subcommand(
             Command::new("trace")
-                .about("Put the log lines about one request, from several VMs, in order")
+                .about("Merge the log lines of one request from several VMs, in order of time")
                 .arg(
                     Arg::new("id")
                         .value_name("REQUEST-ID")
@@ -129,18 +141,20 @@
                         .required(true)
                         .num_args(1..)
                         .value_parser(value_parser!(PathBuf))
-                        .help("Logs of `rattanjunction front`, a file a VM"),
+                        .help("Logs of `rattanjunction front`, one file per VM"),
                 ),
         )
         .subcommand(Command::new("events").about("Print the catalogue of log events"))
         .subcommand(
             Command::new("replay")
-                .about("Fold a page of the control stream and print the state")
-                .arg(file("A page as the log answers it, in JSON")),
+                .about("Fold a page of the control stream and print the resulting state")
+                .arg(file_argument(
+                    "A page of records in JSON, as the log service returns it",
+                )),
         )
         .subcommand(
             Command::new("completions")
-                .about("Print a completion script")
+                .about("Print a shell completion script")
                 .arg(
                     Arg::new("shell")
                         .required(true)
@@ -149,7 +163,7 @@
         )
 }
 
-fn csv(name: &'static str, help: &'static str) -> Arg {
+fn csv_argument(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("CSV")
@@ -157,7 +171,7 @@
         .help(help)
 }
 
-fn file(help: &'static str) -> Arg {
+fn file_argument(help: &'static str) -> Arg {
     Arg::new("file")
         .value_name("FILE")
         .required(true)
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Runs the command line.
+//! The subcommands of the command line.
 
 pub use crate::arguments::command;
 use crate::check;
@@ -22,19 +22,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Exit code for settings, inventories or arguments that are not valid.
+/// Exit code for invalid settings, inventories or arguments.
 const EXIT_INVALID: u8 = 2;
-/// Exit code for a VM that does not answer or an address that is taken.
+/// Exit code for a VM that does not respond or an address that is already in use.
 const EXIT_UNREACHABLE: u8 = 3;
-/// Exit code for what the system refused, such as a conflicting change.
+/// Exit code for a request that the system refused, such as a conflicting change.
 const EXIT_REFUSED: u8 = 4;
 
-/// The time between two looks of `status --watch`.
+/// The polling interval of `status --watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
-/// What clears a terminal before the next look.
+/// The escape sequence that clears a terminal.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-/// Runs the command line of this process.
+/// Parses the command line of this process and runs its subcommand.
 pub fn run() -> ExitCode {
     let matches = command().get_matches();
     let outcome = match matches.subcommand() {
@@ -60,7 +60,7 @@
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            eprintln!("error: {}", describe(&report));
+            eprintln!("error: {}", format_report(&report));
             ExitCode::from(match report.current_context() {
                 Fault::Settings => EXIT_INVALID,
                 Fault::Bind | Fault::Exchange | Fault::Logging => EXIT_UNREACHABLE,
@@ -70,8 +70,8 @@
     }
 }
 
-/// The report's context with what was attached to it, a line each.
-fn describe(report: &Report<Fault>) -> String {
+/// Formats the report's context and its printable attachments, one a line.
+fn format_report(report: &Report<Fault>) -> String {
     use error_stack::{AttachmentKind, FrameKind};
     let mut lines = vec![report.current_context().to_string()];
     for frame in report.frames() {
@@ -82,7 +82,7 @@
     lines.join("\n  ")
 }
 
-fn runtime() -> Result<compio::runtime::Runtime, Report<Fault>> {
+fn new_runtime() -> Result<compio::runtime::Runtime, Report<Fault>> {
     compio::runtime::Runtime::new().change_context(Fault::Bind)
 }
 
@@ -101,7 +101,7 @@
         ColorChoice::Never,
     )
     .change_context(Fault::Logging)?;
-    runtime()?.block_on(crate::server::serve(config))
+    new_runtime()?.block_on(crate::server::serve(config))
 }
 
 fn print_trace(matches: &ArgMatches) -> Result<(), Report<Fault>> {
@@ -121,7 +121,7 @@
     settings.metrics_address = port.map(|port| SocketAddr::new(settings.ready_address.ip(), *port));
     let metrics = Rc::new(gateway::Metrics::new());
     let store = Rc::new(PlatformStore::new(settings.log_address, metrics.clone()));
-    runtime()?.block_on(gateway::serve::<PlatformProtocol, _, _>(
+    new_runtime()?.block_on(gateway::serve::<PlatformProtocol, _, _>(
         settings,
         metrics,
         store,
@@ -138,18 +138,19 @@
         dry_run: matches.get_flag("dry_run"),
         inventory: check::load(path, Inventory::problems)?,
     };
-    let answer = runtime()?.block_on(exchange(matches, "publish", Some(&publication)))?;
+    let answer = new_runtime()?.block_on(call_vm(matches, "publish", Some(&publication)))?;
     if publication.dry_run {
-        return print_forecast(&answer);
+        return print_dry_run(&answer);
     }
     println!("revision {} is in force", answer["revision"]);
     Ok(())
 }
 
-/// Prints what a publication would bring; one that does not fit is refused.
-fn print_forecast(forecast: &Value) -> Result<(), Report<Fault>> {
+/// Prints the orders that a publication would lead to. Fails if it conflicts with the revision in
+/// force or if a model or adapter does not fit.
+fn print_dry_run(plan: &Value) -> Result<(), Report<Fault>> {
     println!("{:<8} {:<32} {:<16} REASON", "ORDER", "ARTIFACT", "RUNNER");
-    for step in items(&forecast["moves"]) {
+    for step in elements(&plan["moves"]) {
         println!(
             "{:<8} {:<32} {:<16} {}",
             text(&step["order"]),
@@ -158,13 +159,13 @@
             text(&step["reason"])
         );
     }
-    println!("{} moves", items(&forecast["moves"]).count());
-    let revision = text(&forecast["revision"]);
-    if forecast["base_in_force"] == false {
+    println!("{} moves", elements(&plan["moves"]).count());
+    let revision = text(&plan["revision"]);
+    if plan["base_in_force"] == false {
         let message = format!("conflict: revision {revision} is in force");
         return Err(Report::new(Fault::Refused).attach(message));
     }
-    let missing: Vec<String> = items(&forecast["missing"]).map(text).collect();
+    let missing: Vec<String> = elements(&plan["missing"]).map(text).collect();
     if missing.is_empty() {
         println!("everything fits");
         return Ok(());
@@ -174,9 +175,9 @@
 }
 
 fn status(matches: &ArgMatches) -> Result<(), Report<Fault>> {
-    let runtime = runtime()?;
+    let runtime = new_runtime()?;
     loop {
-        let answer = runtime.block_on(exchange(matches, "status", None))?;
+        let answer = runtime.block_on(call_vm(matches, "status", None))?;
         if matches.get_flag("watch") {
             print!("{CLEAR_SCREEN}");
         }
@@ -195,8 +196,8 @@
 fn explain(matches: &ArgMatches) -> Result<(), Report<Fault>> {
     let about: &String = matches.get_one("about").expect("required");
     let route = format!("explain?about={about}");
-    let answer = runtime()?.block_on(exchange(matches, &route, None))?;
-    for decision in items(&answer["decisions"]) {
+    let answer = new_runtime()?.block_on(call_vm(matches, &route, None))?;
+    for decision in elements(&answer["decisions"]) {
         println!(
             "{} {:<14} {}",
             text(&decision["at_ms"]),
@@ -204,8 +205,8 @@
             text(&decision["fields"])
         );
     }
-    if items(&answer["decisions"]).next().is_none() {
-        let message = format!("the asked VM made no recent decision about {about}");
+    if elements(&answer["decisions"]).next().is_none() {
+        let message = format!("the queried VM has no recent decision about {about}");
         return Err(Report::new(Fault::Refused).attach(message));
     }
     Ok(())
@@ -214,7 +215,7 @@
 fn import(matches: &ArgMatches) -> Result<(), Report<Fault>> {
     let path = |name: &str| matches.get_one::<PathBuf>(name);
     let mut inventory = match path("into") {
-        // What is imported may be what the rest lacks; so the rules come last.
+        // The file may refer to rows that are imported below, so it is validated after that.
         Some(path) => check::load(path, |_: &Inventory| Vec::new())?,
         None => Inventory::default(),
     };
@@ -254,15 +255,16 @@
     Ok(())
 }
 
-/// Calls a VM's operator address; an error answer becomes a report.
-async fn exchange(
+/// Sends a request to a VM's operator address and returns the JSON response. An error response
+/// becomes a report.
+async fn call_vm(
     matches: &ArgMatches,
     route: &str,
     publication: Option<&Publication>,
 ) -> Result<Value, Report<Fault>> {
     let via: &SocketAddr = matches.get_one("via").expect("required");
     let url = format!("http://{via}/{route}");
-    let unreachable = || format!("no answer from {via}");
+    let unreachable = || format!("no response from {via}");
     let client = cyper::Client::new().change_context(Fault::Exchange)?;
     let request = match publication {
         None => client.get(&url).change_context(Fault::Exchange)?,
@@ -297,14 +299,14 @@
         status["revision"],
         text(&status["vm"])
     );
-    for warning in items(&status["warnings"]) {
+    for warning in elements(&status["warnings"]) {
         println!("warning: {}", text(warning));
     }
     println!(
         "\n{:<16} {:<14} {:<6} {:>9}",
         "VM", "ZONE", "ALIVE", "REVISION"
     );
-    for vm in items(&status["vms"]) {
+    for vm in elements(&status["vms"]) {
         println!(
             "{:<16} {:<14} {:<6} {:>9}",
             text(&vm["name"]),
@@ -317,7 +319,7 @@
         "\n{:<16} {:<14} {:<6} {:>8} {:>8} {:>7} {:>7}",
         "RUNNER", "ZONE", "UP", "TAKEN", "ROOM", "RUNNING", "WAITING"
     );
-    for runner in items(&status["runners"]) {
+    for runner in elements(&status["runners"]) {
         println!(
             "{:<16} {:<14} {:<6} {:>8} {:>8} {:>7} {:>7}",
             text(&runner["name"]),
@@ -330,8 +332,8 @@
         );
     }
     println!("\n{:<24} {:<10} RESIDENT ON", "MODEL", "VERSION");
-    for model in items(&status["models"]) {
-        let on: Vec<String> = items(&model["resident_on"]).map(text).collect();
+    for model in elements(&status["models"]) {
+        let on: Vec<String> = elements(&model["resident_on"]).map(text).collect();
         println!(
             "{:<24} {:<10} {}",
             text(&model["name"]),
@@ -341,10 +343,12 @@
     }
 }
 
-fn items(value: &Value) -> impl Iterator<Item = &Value> {
+/// Iterates over a JSON array; any other value counts as an empty one.
+fn elements(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
+/// Formats a JSON value for a table, strings without quotes.
 fn text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
 //! A serving system for many models on fewer accelerators.
 //!
-//! The processes of this crate stand between callers and backend servers. What
-//! they must agree on they take from the order of records in the platform's
-//! log; docs/DESIGN.md tells why.
+//! The processes of this crate route requests from callers to backend servers. They agree on
+//! shared state by the order of records in the platform's log; docs/DESIGN.md explains why.
 
 mod admission;
 mod append_pace;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `rattanjunction` binary.
+//! The `rattanjunction` command.
 
 use mimalloc::MiMalloc;
 use std::process::ExitCode;
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,4 +1,5 @@
-//! One request's log lines from several VMs, in order, with what changed around it.
+//! Merges the log lines of one request from several VMs, together with the lines about its servers
+//! and models.
 
 use crate::error::Fault;
 use error_stack::{Report, ResultExt};
@@ -7,14 +8,14 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Lines about servers and models this long before the request's first line are shown: a
-/// model that moved takes some seconds.
-const BEFORE_MS: i64 = 10_000;
+/// How long before the request's first line the lines about its servers and models are shown, in
+/// milliseconds. Loading a model takes some seconds.
+const CONTEXT_MS: i64 = 10_000;
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Debug)]
-struct Line {
-    /// The VM that wrote it: the text before the object, or the file's name.
+struct LogLine {
+    /// The VM that wrote the line: the word before the JSON object, or else the file's name.
     vm: String,
     /// Milliseconds since midnight.
     at_ms: i64,
@@ -23,12 +24,12 @@
     fields: Map<String, Value>,
 }
 
-impl Line {
+impl LogLine {
     fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field)?.as_str()
     }
 
-    /// What the line is about beside the request.
+    /// The server and the model that the line is about.
     fn subjects(&self) -> impl Iterator<Item = &str> {
         ["server", "model"]
             .into_iter()
@@ -37,11 +38,12 @@
     }
 }
 
-/// The lines of a request, and of the servers and models that it met, oldest first.
+/// Returns the log lines of a request and the lines about its servers and models shortly before or
+/// during it, oldest first. Lines of the request are marked with `*`.
 ///
 /// # Errors
 ///
-/// Fails when a file cannot be read or no line names the request.
+/// Fails if a file cannot be read or no line belongs to the request.
 pub(crate) fn trace(id: &str, files: &[PathBuf]) -> Result<String, Report<Fault>> {
     let mut lines = Vec::new();
     for file in files {
@@ -51,29 +53,35 @@
         lines.extend(text.lines().filter_map(|line| parse(line, file)));
     }
     lines.sort_by(|left, right| left.time.cmp(&right.time));
-    let of_request: Vec<&Line> = lines
+    let request_lines: Vec<&LogLine> = lines
         .iter()
         .filter(|line| line.text("request") == Some(id))
         .collect();
-    let (Some(first), Some(last)) = (of_request.first(), of_request.last()) else {
-        return Err(Report::new(Fault::Settings).attach(format!("no line names request {id}")));
+    let (Some(first), Some(last)) = (request_lines.first(), request_lines.last()) else {
+        return Err(
+            Report::new(Fault::Settings).attach(format!("no log line belongs to request {id}"))
+        );
     };
-    let window = first.at_ms - BEFORE_MS..=last.at_ms;
-    let subjects: BTreeSet<&str> = of_request.iter().flat_map(|it| it.subjects()).collect();
+    let window = first.at_ms - CONTEXT_MS..=last.at_ms;
+    let subjects: BTreeSet<&str> = request_lines.iter().flat_map(|it| it.subjects()).collect();
     let shown = lines.iter().filter(|line| {
-        let is_around = line.text("request").is_none()
+        let is_context = line.text("request").is_none()
             && window.contains(&line.at_ms)
             && line.subjects().any(|subject| subjects.contains(subject));
-        line.text("request") == Some(id) || is_around
+        line.text("request") == Some(id) || is_context
     });
     let mut output = String::new();
     for line in shown {
-        let mark = if line.text("request") == Some(id) {
+        let marker = if line.text("request") == Some(id) {
             '*'
         } else {
             ' '
         };
-        let _ = write!(output, "{mark} {} {} {}", line.time, line.vm, line.message);
+        let _ = write!(
+            output,
+            "{marker} {} {} {}",
+            line.time, line.vm, line.message
+        );
         for (field, value) in &line.fields {
             if field != "request" {
                 let _ = write!(output, " {field}={value}");
@@ -84,19 +92,20 @@
     Ok(output)
 }
 
-/// Reads a line: a JSON object, perhaps after a time and the VM's name.
-fn parse(line: &str, file: &Path) -> Option<Line> {
-    let begin = line.find('{')?;
-    let mut fields: Map<String, Value> = serde_json::from_str(&line[begin..]).ok()?;
+/// Parses a line: a JSON object, optionally after a timestamp and the VM's name; `None` for other
+/// lines.
+fn parse(line: &str, file: &Path) -> Option<LogLine> {
+    let json_start = line.find('{')?;
+    let mut fields: Map<String, Value> = serde_json::from_str(&line[json_start..]).ok()?;
     let time = fields.remove("timestamp")?.as_str()?.to_owned();
     let message = fields.remove("message")?.as_str()?.to_owned();
     fields.remove("level");
-    let before = line[..begin].split_whitespace().last();
-    let name = file
+    let vm = line[..json_start].split_whitespace().last();
+    let file_name = file
         .file_stem()
         .map(|name| name.to_string_lossy().into_owned());
-    Some(Line {
-        vm: before.map(str::to_owned).or(name).unwrap_or_default(),
+    Some(LogLine {
+        vm: vm.map(str::to_owned).or(file_name).unwrap_or_default(),
         at_ms: millis_of_day(&time)?,
         time,
         message,
@@ -104,7 +113,7 @@
     })
 }
 
-/// The milliseconds since midnight of an RFC 3339 time.
+/// Returns the milliseconds since midnight of an RFC 3339 time in UTC.
 fn millis_of_day(time: &str) -> Option<i64> {
     let (_, clock) = time.split_once('T')?;
     let mut parts = clock.trim_end_matches('Z').split(':');
