--- a/src/completion.rs
+++ b/src/completion.rs
@@ -6,7 +6,7 @@
 use crate::engine::request;
 use crate::error::{Failure, Kind, Ran};
 use crate::events::{Event, emit};
-use crate::fleet::{InFlight, Runner};
+use crate::fleet::{InFlightGuard, Runner};
 use crate::http::Body;
 use crate::inventory::{Name, Priority};
 use crate::quarantine::{EngineRun, Isolation, Quarantine};
@@ -91,7 +91,7 @@
     reader: SseReader,
     connection: Connection,
     run: EngineRun,
-    in_flight: InFlight,
+    in_flight: InFlightGuard,
 }
 
 /// What all completions of a VM share.
@@ -505,7 +505,7 @@
         let now = Instant::now();
         let is_hopeful = now < self.hopeful_until
             || router.is_coming(target, pinned)
-            || router.is_served(target);
+            || router.has_ready_runner(target);
         if now >= self.give_up_at || !is_hopeful {
             return Err(self.exhausted("no runner can take the request now"));
         }
@@ -533,9 +533,9 @@
                 self.ask.id, choice.target.base, choice.runner.name, choice.score, choice.others
             ),
         );
-        let in_flight = choice.runner.enter(self.ask.priority);
+        let in_flight = choice.runner.track_request(self.ask.priority);
         if self.ask.priority == Priority::Urgent {
-            self.shared.router.make_room_on(&choice.runner);
+            self.shared.router.request_batch_yields(&choice.runner);
         }
         let body = self.body_for(&choice.target);
         let (connection, response) = self.send(&choice, body).await?;
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -39,8 +39,8 @@
         base: artifact(None),
         adapter: Some(artifact(Some("adapter"))),
     };
-    expect_false!(target.is_coming_in(&ledger(None)));
-    expect_false!(target.is_coming_in(&ledger(Some(CopyState::Unloading))));
-    expect_true!(target.is_coming_in(&ledger(Some(CopyState::Loading))));
-    expect_true!(target.is_coming_in(&ledger(Some(CopyState::Resident))));
+    expect_false!(target.is_resident_or_loading_in(&ledger(None)));
+    expect_false!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Unloading))));
+    expect_true!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Loading))));
+    expect_true!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Resident))));
 }
--- a/src/dry_run.rs
+++ b/src/dry_run.rs
@@ -2,7 +2,7 @@
 
 use crate::control::{Artifact, ClaimRef, Command, Control, CopyState, Outcome, Verdict};
 use crate::inventory::{Inventory, Name};
-use crate::placement::{Move, Planning};
+use crate::placement::{Move, PlacementPlanner};
 use crate::replica::{Fold, Position};
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -71,7 +71,7 @@
             let under = self.claim(&group);
             self.begin_books(&under);
             for _ in 0..MAX_ROUNDS {
-                let planned = Planning::new(&self.control, &group, &is_up).moves();
+                let planned = PlacementPlanner::new(&self.control, &group, &is_up).moves();
                 let before = moves.len();
                 moves.extend(
                     planned
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -44,7 +44,7 @@
 
 /// What a plan is made from.
 #[derive(Debug)]
-pub(crate) struct Planning<'a> {
+pub(crate) struct PlacementPlanner<'a> {
     control: &'a Control,
     runners: Vec<&'a BackendServer>,
     /// The demand for each model.
@@ -55,7 +55,7 @@
     hour: u8,
 }
 
-impl<'a> Planning<'a> {
+impl<'a> PlacementPlanner<'a> {
     /// A planning over the runners of `group` that answer and stay.
     pub(crate) fn new(control: &'a Control, group: &str, is_up: impl Fn(&str) -> bool) -> Self {
         let runners = control
--- a/src/placement/eviction.rs
+++ b/src/placement/eviction.rs
@@ -1,10 +1,10 @@
 //! Making room for a copy that fits nowhere, at the cost of copies that can be spared.
 
-use super::{Move, Planning};
+use super::{Move, PlacementPlanner};
 use crate::control::{Artifact, CopyState, MemoryLedger};
 use crate::inventory::{BackendServer, Model};
 
-impl<'a> Planning<'a> {
+impl<'a> PlacementPlanner<'a> {
     /// Unloads that let the first model without room fit on one runner.
     ///
     /// One model at a time: what was freed is looked at again before more goes.
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -1,6 +1,6 @@
 //! Copies that follow the demand: which model gains one, where, and in whose place.
 
-use super::{Move, Planning};
+use super::{Move, PlacementPlanner};
 use crate::control::CopyState;
 use crate::demand::Slots;
 use crate::inventory::{BackendServer, Model, MovePolicy, Name, PlacementRule};
@@ -32,7 +32,7 @@
 
 type Holders<'a> = HashMap<&'a Name, Vec<&'a BackendServer>>;
 
-impl<'a> Planning<'a> {
+impl<'a> PlacementPlanner<'a> {
     /// Moves by which copies follow the demand, as the placement rule says.
     pub(crate) fn follow_demand(&self) -> Vec<Move> {
         match self.control.inventory.rules.placement {
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -14,7 +14,7 @@
 use crate::inventory::{BackendServer, Inventory, Name};
 use crate::membership::Membership;
 use crate::metrics::{Metrics, OrderLabels};
-use crate::placement::{Move, Planning};
+use crate::placement::{Move, PlacementPlanner};
 use crate::server::ControlStream;
 use crate::service_registry::Service;
 use crate::shutdown::Shutdown;
@@ -75,16 +75,20 @@
 
 impl Planner {
     /// A planner over the services it reads; `writer` names this run in the log.
-    pub(crate) fn new(kernel: &crate::service_registry::Kernel, vm: Name, writer: Name) -> Self {
-        let metrics: Rc<Metrics> = kernel.find();
+    pub(crate) fn new(
+        registry: &crate::service_registry::ServiceRegistry,
+        vm: Name,
+        writer: Name,
+    ) -> Self {
+        let metrics: Rc<Metrics> = registry.find();
         Self {
-            control: kernel.find(),
-            demand: kernel.find(),
-            fleet: kernel.find(),
-            membership: kernel.find(),
-            engines: EngineClient::new(metrics.leg("reports")),
+            control: registry.find(),
+            demand: registry.find(),
+            fleet: registry.find(),
+            membership: registry.find(),
+            engines: EngineClient::new(metrics.control_traffic_counter("reports")),
             metrics,
-            shutdown: kernel.find(),
+            shutdown: registry.find(),
             vm,
             writer,
             attempts: RefCell::default(),
@@ -133,7 +137,7 @@
         match held {
             Some(claim) if claim.vm == self.vm => true,
             Some(claim) if self.membership.is_alive(&claim.vm) => false,
-            _ => self.membership.is_first_for(group),
+            _ => self.membership.is_assigned(group),
         }
     }
 
@@ -172,7 +176,7 @@
         join_all(runners.iter().map(|runner| self.drive(&under, runner))).await;
         let moves = self.control.with(|control| {
             let demand = self.demand.total(&control.inventory, control.revision);
-            Planning::new(control, group, |name| {
+            PlacementPlanner::new(control, group, |name| {
                 let known = |ledger: &MemoryLedger| ledger.boot != 0 && !ledger.down;
                 control.ledgers.get(name).is_some_and(known)
                     && self.fleet.runner(name).is_some_and(|runner| runner.is_up())
--- a/src/router.rs
+++ b/src/router.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether a runner holds all that the target needs, or was ordered to load it.
-    pub(crate) fn is_coming_in(&self, ledger: &MemoryLedger) -> bool {
+    pub(crate) fn is_resident_or_loading_in(&self, ledger: &MemoryLedger) -> bool {
         std::iter::once(&self.base)
             .chain(&self.adapter)
             .all(|artifact| ledger.is_coming(artifact))
@@ -193,7 +193,7 @@
             let in_book = control
                 .ledgers
                 .iter()
-                .any(|(name, ledger)| wanted.is_coming_in(ledger) && answers(name));
+                .any(|(name, ledger)| wanted.is_resident_or_loading_in(ledger) && answers(name));
             let in_force = control
                 .inventory
                 .model(&wanted.base.model)
@@ -216,7 +216,7 @@
     }
 
     /// Whether any runner serves the model, though it may be full for batch requests.
-    pub(crate) fn is_served(&self, wanted: &Target) -> bool {
+    pub(crate) fn has_ready_runner(&self, wanted: &Target) -> bool {
         !self.scored(wanted, false).is_empty()
     }
 
