--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,6 +1,6 @@
 //! Which requests are taken, and which batch requests give up their slots.
 
-use crate::completion::Ask;
+use crate::completion::CompletionRequest;
 use crate::error::{Failure, Kind};
 use crate::fleet::{Load, Runner};
 use crate::inventory::{AdmissionRule, Name, Priority};
@@ -18,7 +18,7 @@
     /// # Errors
     ///
     /// Fails with the time after which the same request would be taken.
-    pub(crate) fn admit(&self, ask: &Ask) -> Result<(), Failure> {
+    pub(crate) fn admit(&self, ask: &CompletionRequest) -> Result<(), Failure> {
         let rule = self
             .control
             .with(|control| control.inventory.rules.admission);
@@ -47,7 +47,7 @@
     }
 
     /// How long a request would wait for a slot; `None` while no runner serves its model.
-    fn expected_wait(&self, ask: &Ask) -> Option<Duration> {
+    fn expected_wait(&self, ask: &CompletionRequest) -> Option<Duration> {
         if ask.priority == Priority::Batch {
             return Some(self.batch_queue.expected_wait(&ask.target.base.model));
         }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,13 +1,13 @@
 //! The callers' side: routes, limits and answers.
 
-use crate::completion::{Ask, COMPLETIONS_PATH, Completion, Shared, Step};
+use crate::completion::{COMPLETIONS_PATH, Completion, CompletionRequest, Shared, Step};
 use crate::error::{Failure, Kind};
 use crate::events::{Event, emit};
 use crate::http::{AnswerSender, Body, ReadError, json_response, read_body};
 use crate::inventory::{Inventory, Name, PlainService, Priority};
 use crate::membership::Membership;
 use crate::metrics::{Metrics, RequestLabels};
-use crate::plain_service::{Call, PlainCalls};
+use crate::plain_service::{Call, PlainServiceClient};
 use crate::request_headers::{
     Sender, deadline_ms, fingerprint, idempotency_key, request_id, sender,
 };
@@ -42,7 +42,7 @@
     control: Rc<ControlStream>,
     keys: Rc<KeyStream>,
     completions: Rc<Shared>,
-    calls: Rc<PlainCalls>,
+    calls: Rc<PlainServiceClient>,
     metrics: Rc<Metrics>,
     shutdown: Rc<Shutdown>,
     membership: Rc<Membership>,
@@ -244,7 +244,7 @@
         })?;
         let streamed = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
         let target = self.target(&body)?;
-        let ask = Ask {
+        let ask = CompletionRequest {
             id: id.clone(),
             fingerprint: fingerprint(&body),
             target,
--- a/src/plain_service.rs
+++ b/src/plain_service.rs
@@ -104,7 +104,7 @@
 }
 
 /// Gives calls to plain services.
-pub(crate) struct PlainCalls {
+pub(crate) struct PlainServiceClient {
     control: Rc<ControlStream>,
     keys: Rc<KeyStream>,
     membership: Rc<Membership>,
@@ -113,7 +113,7 @@
     turn: Cell<usize>,
 }
 
-impl Service for PlainCalls {
+impl Service for PlainServiceClient {
     const NAME: &'static str = "plain_calls";
 }
 
@@ -124,7 +124,7 @@
     Unknown,
 }
 
-impl PlainCalls {
+impl PlainServiceClient {
     /// Calls over the services it reads.
     pub(crate) fn new(
         control: Rc<ControlStream>,
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,7 +1,7 @@
 //! Choosing a runner for a request.
 
 use crate::batch_queue::{BatchQueue, Ticket};
-use crate::completion::Ask;
+use crate::completion::CompletionRequest;
 use crate::control::{Artifact, Control, RunnerBook};
 use crate::demand::Demand;
 use crate::fleet::{Fleet, Runner};
@@ -136,7 +136,7 @@
     }
 
     /// Counts a request that came, whatever becomes of it.
-    pub(crate) fn note_arrival(&self, ask: &Ask) {
+    pub(crate) fn note_arrival(&self, ask: &CompletionRequest) {
         self.demand
             .note_arrival(&ask.target.base.model, ask.priority, ask.max_tokens());
     }
@@ -165,7 +165,7 @@
     /// With `yields`, runners are left out on which urgent requests should find a slot.
     pub(crate) fn choose(
         &self,
-        ask: &Ask,
+        ask: &CompletionRequest,
         pinned: bool,
         yields: bool,
         avoid: &[Name],
@@ -211,7 +211,7 @@
     }
 
     /// How long a runner is expected to be busy with a request.
-    pub(crate) fn service_time(&self, ask: &Ask) -> Duration {
+    pub(crate) fn service_time(&self, ask: &CompletionRequest) -> Duration {
         self.demand.service_time(ask.max_tokens())
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Enters a batch request that found no place into the queue of this VM.
-    pub(crate) fn queue(&self, ask: &Ask) -> Ticket {
+    pub(crate) fn queue(&self, ask: &CompletionRequest) -> Ticket {
         self.batch_queue.enter(&ask.target.base.model, ask.deadline)
     }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -15,7 +15,7 @@
 use crate::metrics::Metrics;
 use crate::operator::Operator;
 use crate::peer::{HEARTBEAT_INTERVAL, Links, PeerService};
-use crate::plain_service::PlainCalls;
+use crate::plain_service::PlainServiceClient;
 use crate::planner::Planner;
 use crate::quarantine::Quarantine;
 use crate::router::Router;
@@ -190,7 +190,7 @@
         membership.clone(),
         demand,
     )));
-    kernel.register(Rc::new(PlainCalls::new(
+    kernel.register(Rc::new(PlainServiceClient::new(
         control,
         keys,
         membership,
