--- a/src/completion.rs
+++ b/src/completion.rs
@@ -1,9 +1,11 @@
-//! A chat completion from its request to its last event, over as many runners as it takes.
+//! One chat completion, from its request to its last event.
+//!
+//! If a runner fails in mid-stream, the completion resumes on another runner from the next token.
 
 use crate::batch_queue::Ticket;
 use crate::client::{Connection, Pool, SendError};
 use crate::control::Standing;
-use crate::engine::request;
+use crate::engine::build_request;
 use crate::error::{Failure, Kind, Ran};
 use crate::events::{Event, emit};
 use crate::fleet::{InFlight, Runner};
@@ -12,81 +14,83 @@
 use crate::quarantine::{EngineRun, Isolation, Quarantine};
 use crate::retry::RetryBudget;
 use crate::router::{Choice, Router, Target};
-use crate::sse::{Broken, SseEvent, SseReader};
+use crate::sse::{SseEvent, SseReader, StreamError};
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 use serde_json::{Map, Value};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The route of completions, here and at engines.
+/// The path of chat completions, both at this VM and at engines.
 pub(crate) const COMPLETIONS_PATH: &str = "/v1/chat/completions";
-/// How long an engine may be silent; it sends comments while it has no token.
-const SILENCE: Duration = Duration::from_millis(2_000);
-/// How long the answer's head may take on a connection that was idle before.
+/// How long an engine may send nothing; while it has no token, it sends comments.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Time limit for the response headers on a reused idle connection.
 ///
-/// Shorter, since such a connection may have gone silent; a new one tells.
-const IDLE_SILENCE: Duration = Duration::from_millis(700);
-/// How long a connection to an engine may take.
+/// It is shorter than [`SILENCE_TIMEOUT`] because an idle connection may be dead without notice,
+/// whereas opening a new one shows whether the runner can be reached.
+const REUSED_CONNECTION_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time limit for connecting to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often one batch request gives up its slot at most.
+/// Maximum number of times a batch request gives up its slot to urgent requests.
 const MAX_YIELDS: u32 = 3;
-/// Attempts in a row that bring no token, at most.
-const MAX_FRUITLESS: u32 = 5;
-/// The pause before looking again when no runner can take the request.
-const NO_RUNNER_PAUSE: Duration = Duration::from_millis(50);
-/// How long a broken stream may look for a runner when its deadline is near or past.
+/// Maximum number of attempts in a row that yield no token.
+const MAX_ATTEMPTS_WITHOUT_TOKEN: u32 = 5;
+/// The pause between two attempts to choose a runner when none can take the request.
+const NO_RUNNER_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Minimum time to find another runner after a stream broke, even past the request's deadline.
 const RESUME_WAIT: Duration = Duration::from_millis(2_000);
-/// How long a crashed runner may take to start again before its requests give up.
+/// How long requests wait for a crashed runner to restart.
 const RESTART_WAIT: Duration = Duration::from_millis(5_000);
-/// How long a suspect whose stream has begun may wait for a runner to itself.
+/// How long a suspect whose stream has begun may wait for an isolated runner.
 const SUSPECT_WAIT: Duration = Duration::from_secs(20);
-/// Tokens after which a suspect has got past the point of the crash.
+/// Tokens after which a suspect counts as past the point at which the runner crashed.
 const PROBATION_TOKENS: u32 = 3;
 /// The last event of a complete stream.
 const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// What a caller asked for.
+/// A caller's request for a completion.
 #[derive(Debug)]
 pub(crate) struct CompletionRequest {
-    /// Names the request through every process.
+    /// The request id, which is passed on to engines.
     pub(crate) id: Name,
-    /// The same for each sending of the request, through whichever VM.
+    /// The hash of the model and the messages; equal when the caller sends the request again.
     pub(crate) fingerprint: u64,
-    /// The artifacts to run it on.
+    /// The artifacts that the request needs.
     pub(crate) target: Target,
-    /// The request's body.
+    /// The request body.
     pub(crate) body: Map<String, Value>,
-    /// How urgent it is.
+    /// The priority.
     pub(crate) priority: Priority,
-    /// When the first token must have come.
+    /// The time by which the first token must have arrived.
     pub(crate) deadline: Instant,
-    /// When the first token should have come, if the caller says so.
+    /// The caller's target time for the first token, if it has one.
     pub(crate) first_token_by: Option<Instant>,
 }
 
 impl CompletionRequest {
-    /// The tokens that the request asks for at most, if it says so.
+    /// Returns the request's `max_tokens`, if set.
     pub(crate) fn max_tokens(&self) -> Option<u64> {
         self.body.get("max_tokens").and_then(Value::as_u64)
     }
 }
 
-/// What comes next in an answer.
+/// One part of an answer; raw events are passed on to the caller unchanged.
 #[derive(Debug)]
-pub(crate) enum Step {
-    /// A token, with its event.
+pub(crate) enum AnswerPart {
+    /// A token: the raw event and the token's text.
     Token(Bytes, String),
-    /// The finish reason, with its event.
+    /// The finish reason: the raw event and the reason.
     Finish(Bytes, String),
-    /// An event without a token, to be passed on.
+    /// An event without a token, such as one with usage figures.
     Other(Bytes),
-    /// The engine lives and has no token yet.
-    Waiting,
-    /// The answer is complete.
+    /// The engine is alive but has no token yet.
+    KeepAlive,
+    /// The last event of a complete answer.
     Done(Bytes),
 }
 
+/// A stream from one engine.
 struct Attempt {
     reader: SseReader,
     connection: Connection,
@@ -94,121 +98,127 @@
     in_flight: InFlight,
 }
 
-/// What all completions of a VM share.
-pub(crate) struct Shared {
+/// The services that all completions of a VM share.
+pub(crate) struct CompletionServices {
     /// Chooses runners.
     pub(crate) router: Rc<Router>,
     /// Idle connections to engines.
     pub(crate) pool: Rc<Pool>,
-    /// Bounds the attempts after the first.
+    /// Limits retries, that is, attempts after the first.
     pub(crate) budget: RetryBudget,
-    /// Keeps suspects apart once a runner crashed.
+    /// Isolates suspect requests after a runner crashed.
     pub(crate) quarantine: Rc<Quarantine>,
 }
 
-/// One completion under way.
+/// One completion in progress.
 pub(crate) struct Completion {
-    shared: Rc<Shared>,
-    ask: CompletionRequest,
+    services: Rc<CompletionServices>,
+    request: CompletionRequest,
     attempt: Option<Attempt>,
     attempts: u32,
-    fruitless: u32,
+    /// Attempts since the last token.
+    attempts_without_token: u32,
     tokens: u32,
+    /// Whether the finish reason has arrived.
     finished: bool,
+    /// The event that preceded the first token, held back until the token arrives.
     preamble: Bytes,
-    avoid: Vec<Name>,
+    excluded_runners: Vec<Name>,
     ticket: Option<Ticket>,
     yields: u32,
-    ran: bool,
+    may_have_run: bool,
     resumes: u32,
     give_up_at: Instant,
-    hopeful_until: Instant,
-    crashed_here: bool,
+    /// Until then, a crashed runner is expected to restart.
+    restart_expected_until: Instant,
+    /// Whether a runner crashed while it ran this request.
+    saw_crash: bool,
     isolation: Option<Isolation>,
-    probation_ends: u32,
+    /// The token count at which the isolation ends.
+    probation_end_token: u32,
 }
 
-/// Why an attempt brought no stream.
+/// The reason an attempt did not yield a stream.
 enum AttemptError {
-    /// The engine does not hold the artifacts any more.
+    /// The engine no longer holds the artifacts.
     NotLoaded,
-    /// The runner was chosen on a view that is too old by now; nothing was sent.
-    Outdated,
-    /// The engine did not run it; another may.
+    /// The view by which the runner was chosen is out of date; nothing was sent.
+    StaleView,
+    /// The engine did not run the request; another engine may.
     NotRun(&'static str),
-    /// It may have run.
+    /// The engine may have run the request.
     MaybeRun(&'static str),
-    /// The idle connection it was sent on was closed or silent.
+    /// The request was sent on a pooled connection that turned out to be closed or unresponsive.
     StaleConnection,
-    /// No engine will take it.
+    /// Every engine would reject the request.
     Final(Failure),
 }
 
 impl Completion {
-    /// A completion that has not been sent anywhere yet.
-    pub(crate) fn new(shared: Rc<Shared>, ask: CompletionRequest) -> Self {
-        shared.budget.note_request();
+    /// Creates a completion; nothing is sent before the first call of [`next`](Self::next).
+    pub(crate) fn new(services: Rc<CompletionServices>, request: CompletionRequest) -> Self {
+        services.budget.note_request();
         Self {
-            shared,
+            services,
             attempt: None,
             attempts: 0,
-            fruitless: 0,
+            attempts_without_token: 0,
             tokens: 0,
             finished: false,
             preamble: Bytes::new(),
-            avoid: Vec::new(),
+            excluded_runners: Vec::new(),
             ticket: None,
             yields: 0,
-            ran: false,
+            may_have_run: false,
             resumes: 0,
-            give_up_at: ask.deadline,
-            hopeful_until: Instant::now(),
-            crashed_here: false,
+            give_up_at: request.deadline,
+            restart_expected_until: Instant::now(),
+            saw_crash: false,
             isolation: None,
-            probation_ends: 0,
-            ask,
+            probation_end_token: 0,
+            request,
         }
     }
 
-    /// Tokens passed on so far.
+    /// Returns the number of tokens passed on so far.
     pub(crate) fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// How often the stream went on elsewhere, and how many attempts were made.
-    pub(crate) fn tries(&self) -> (u32, u32) {
+    /// Returns how many times the stream broke, and how many attempts were made.
+    pub(crate) fn attempt_counts(&self) -> (u32, u32) {
         (self.resumes, self.attempts)
     }
 
-    /// Waits for the next step, on another runner if need be.
+    /// Waits for the next part of the answer, and resumes on another runner if the stream breaks.
     ///
     /// # Errors
     ///
-    /// Fails once no runner can go on, or the deadline passed before any token.
-    pub(crate) async fn next(&mut self) -> Result<Step, Failure> {
+    /// Fails if no runner can continue, or if the deadline passes before the first token.
+    pub(crate) async fn next(&mut self) -> Result<AnswerPart, Failure> {
         loop {
-            self.give_way();
+            self.yield_to_urgent();
             if self.attempt.is_none() {
-                self.attempt = Some(self.open().await?);
+                self.attempt = Some(self.open_stream().await?);
             }
-            let silence = self.silence()?;
+            let event_timeout = self.event_timeout()?;
             let attempt = self.attempt.as_mut().expect("an attempt was just opened");
-            let event = attempt.reader.next(silence).await;
-            match self.take_event(event) {
-                Ok(Some(step)) => return Ok(step),
+            let event = attempt.reader.next(event_timeout).await;
+            match self.handle_event(event) {
+                Ok(Some(part)) => return Ok(part),
                 Ok(None) => {}
-                Err(broken) => self.note_broken(broken).await?,
+                Err(error) => self.handle_stream_error(error).await?,
             }
         }
     }
 
-    /// Gives up the slot if urgent requests want it; the answer goes on later.
-    fn give_way(&mut self) {
+    /// Gives up the slot if urgent requests need it; the answer resumes later.
+    fn yield_to_urgent(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
         };
         let is_streaming = self.tokens > 0 && !self.finished;
-        let may_yield = is_streaming && self.yields < MAX_YIELDS && self.holds_back();
+        let may_yield = is_streaming && self.yields < MAX_YIELDS && self.defers_to_urgent();
         if !may_yield || !attempt.in_flight.runner().take_yield() {
             return;
         }
@@ -216,72 +226,81 @@
             Event::Yielded,
             format_args!(
                 "request={} runner={} token={}",
-                self.ask.id, attempt.run.runner.name, self.tokens
+                self.request.id, attempt.run.runner.name, self.tokens
             ),
         );
         self.yields += 1;
         self.attempts -= 1;
         self.attempt = None;
-        self.ticket = Some(self.shared.router.queue(&self.ask));
+        self.ticket = Some(self.services.router.queue(&self.request));
     }
 
-    /// Whether the request leaves room to urgent ones: batch, while its deadline allows it.
-    fn holds_back(&self) -> bool {
-        if self.ask.priority != Priority::Batch {
+    /// Whether the request leaves slots to urgent ones: a batch request does, as long as its
+    /// deadline allows it.
+    fn defers_to_urgent(&self) -> bool {
+        if self.request.priority != Priority::Batch {
             return false;
         }
         let has_begun = self.tokens > 0;
         if has_begun && self.yields == 0 && self.attempt.is_none() {
-            // Broken off by a failure: the caller waits in the middle of an answer.
+            // A failure interrupted the stream, and the caller is waiting for the rest of it.
             return false;
         }
-        let left = self.ask.deadline.saturating_duration_since(Instant::now());
-        !has_begun || left > self.shared.router.service_time(&self.ask) * 2
+        let left = self
+            .request
+            .deadline
+            .saturating_duration_since(Instant::now());
+        !has_begun || left > self.services.router.service_time(&self.request) * 2
     }
 
-    /// What an event means for the caller; `None` for nothing.
-    fn take_event(&mut self, event: Result<SseEvent, Broken>) -> Result<Option<Step>, Broken> {
+    /// Handles an event; returns the part to pass on to the caller, if any.
+    fn handle_event(
+        &mut self,
+        event: Result<SseEvent, StreamError>,
+    ) -> Result<Option<AnswerPart>, StreamError> {
         match event {
-            Ok(SseEvent::Comment) => Ok((self.tokens > 0).then_some(Step::Waiting)),
+            Ok(SseEvent::Comment) => Ok((self.tokens > 0).then_some(AnswerPart::KeepAlive)),
             Ok(SseEvent::Other(event)) if self.tokens == 0 && !self.finished => {
                 self.preamble = event;
                 Ok(None)
             }
             Ok(SseEvent::Other(event)) => {
-                // Another attempt repeats the events before its first token.
-                let is_new = self.fruitless == 0 || self.finished;
-                Ok(is_new.then_some(Step::Other(event)))
+                // Every attempt sends the events before its first token again.
+                let is_new = self.attempts_without_token == 0 || self.finished;
+                Ok(is_new.then_some(AnswerPart::Other(event)))
             }
             Ok(SseEvent::Token(event, text)) if !self.finished => {
                 self.tokens += 1;
-                self.fruitless = 0;
-                if self.tokens >= self.probation_ends {
-                    self.end_isolation(self.crashed_here);
+                self.attempts_without_token = 0;
+                if self.tokens >= self.probation_end_token {
+                    self.end_isolation(self.saw_crash);
                 }
-                Ok(Some(Step::Token(self.with_preamble(event), text)))
+                Ok(Some(AnswerPart::Token(self.with_preamble(event), text)))
             }
             Ok(SseEvent::Finish(event, reason)) if !self.finished => {
                 self.finished = true;
-                Ok(Some(Step::Finish(event, reason)))
+                Ok(Some(AnswerPart::Finish(event, reason)))
             }
             Ok(SseEvent::Done(event)) if self.finished => {
-                self.give_back();
+                self.return_connection();
                 self.end_isolation(true);
-                Ok(Some(Step::Done(event)))
+                Ok(Some(AnswerPart::Done(event)))
             }
-            // Every token and the finish reason have come: nothing is missing.
+            // All tokens and the finish reason have arrived, so the answer is complete.
             Ok(_) | Err(_) if self.finished => {
                 self.attempt = None;
                 self.end_isolation(true);
-                Ok(Some(Step::Done(Bytes::from_static(DONE_EVENT))))
+                Ok(Some(AnswerPart::Done(Bytes::from_static(DONE_EVENT))))
             }
-            Ok(_) => Err(Broken::Garbled),
-            Err(broken) => Err(broken),
+            Ok(_) => Err(StreamError::Malformed),
+            Err(error) => Err(error),
         }
     }
 
-    /// Puts before the first token what came before it; nothing is sent earlier,
-    /// so that a request without a token can still be answered by an error status.
+    /// Prepends the event that preceded the first token.
+    ///
+    /// It is held back until then, so that a request that yields no token can still be answered
+    /// with an error status.
     fn with_preamble(&mut self, event: Bytes) -> Bytes {
         let preamble = std::mem::take(&mut self.preamble);
         if preamble.is_empty() {
@@ -290,103 +309,109 @@
         [preamble, event].concat().into()
     }
 
-    /// How long to wait for the next event: no longer than the deadline before the first token.
-    fn silence(&self) -> Result<Duration, Failure> {
+    /// Returns how long to wait for the next event; before the first token, the wait ends at the
+    /// deadline at the latest.
+    fn event_timeout(&self) -> Result<Duration, Failure> {
         if self.tokens > 0 {
-            return Ok(SILENCE);
+            return Ok(SILENCE_TIMEOUT);
         }
         let left = self.time_left();
         if left.is_zero() {
-            return Err(self.late());
+            return Err(self.deadline_failure());
         }
-        Ok(left.min(SILENCE))
+        Ok(left.min(SILENCE_TIMEOUT))
     }
 
     fn time_left(&self) -> Duration {
-        self.ask.deadline.saturating_duration_since(Instant::now())
+        self.request
+            .deadline
+            .saturating_duration_since(Instant::now())
     }
 
-    fn late(&self) -> Failure {
-        self.with_ran(Failure::new(
+    fn deadline_failure(&self) -> Failure {
+        self.with_run_state(Failure::new(
             Kind::Deadline,
-            "no runner began the answer in time",
+            "no runner sent the first token before the deadline",
         ))
     }
 
-    /// States that the request ran, if it may have.
-    fn with_ran(&self, failure: Failure) -> Failure {
-        if self.ran {
+    /// Marks a failure as [`Ran::Yes`] if an engine may have run the request.
+    fn with_run_state(&self, failure: Failure) -> Failure {
+        if self.may_have_run {
             failure.ran(Ran::Yes)
         } else {
             failure
         }
     }
 
-    /// Ends the isolation, if there is one; a suspect that is `cleared` may share runners again.
+    /// Ends the isolation, if any; with `cleared`, a suspect may share runners again.
     fn end_isolation(&mut self, cleared: bool) {
-        let quarantine = &self.shared.quarantine;
-        let fingerprint = self.ask.fingerprint;
+        let quarantine = &self.services.quarantine;
+        let fingerprint = self.request.fingerprint;
         if cleared && quarantine.standing(fingerprint) == Standing::Suspect {
             quarantine.clear(fingerprint);
         }
         self.isolation = None;
     }
 
-    async fn note_broken(&mut self, broken: Broken) -> Result<(), Failure> {
-        let attempt = self.attempt.take().expect("only an open attempt breaks");
+    async fn handle_stream_error(&mut self, error: StreamError) -> Result<(), Failure> {
+        let attempt = self
+            .attempt
+            .take()
+            .expect("a stream error comes from an open attempt");
         let run = attempt.run.clone();
         if self.tokens == 0 && self.time_left().is_zero() {
-            return Err(self.late());
+            return Err(self.deadline_failure());
         }
-        if broken == Broken::Silent {
-            self.shared.pool.clear(attempt.connection.address());
+        if error == StreamError::TimedOut {
+            self.services.pool.clear(attempt.connection.address());
         }
-        // Dropped before anything else, so that the engine cancels its copy.
+        // Closes the connection first, so that the engine cancels the request.
         drop(attempt);
         self.resumes += 1;
         self.give_up_at = self.give_up_at.max(Instant::now() + RESUME_WAIT);
-        let cause = match broken {
-            Broken::Cut => "cut",
-            Broken::Garbled => "garbled",
-            Broken::Silent => "silent",
+        let cause = match error {
+            StreamError::Disconnected => "cut",
+            StreamError::Malformed => "garbled",
+            StreamError::TimedOut => "silent",
         };
-        self.pass_over(&run.runner.name, cause);
-        if broken == Broken::Cut {
-            self.note_cut(&run).await;
+        self.exclude_runner(&run.runner.name, cause);
+        if error == StreamError::Disconnected {
+            self.check_for_crash(&run).await;
         }
         self.isolation = None;
         Ok(())
     }
 
-    /// Finds out whether the runner crashed; if so, the request is a suspect from now on.
-    async fn note_cut(&mut self, run: &EngineRun) {
-        let quarantine = &self.shared.quarantine;
+    /// Checks whether the runner crashed; if so, the request becomes a suspect.
+    async fn check_for_crash(&mut self, run: &EngineRun) {
+        let quarantine = &self.services.quarantine;
         let crashed = quarantine
-            .note_cut(&self.ask.id, self.ask.fingerprint, run)
+            .note_cut(&self.request.id, self.request.fingerprint, run)
             .await;
         if crashed {
             let now = Instant::now();
-            self.crashed_here = true;
-            self.hopeful_until = now + RESTART_WAIT;
+            self.saw_crash = true;
+            self.restart_expected_until = now + RESTART_WAIT;
             self.give_up_at = self.give_up_at.max(now + SUSPECT_WAIT);
         }
     }
 
-    fn refuse_suspect(&self) -> Result<(), Failure> {
-        if self.shared.quarantine.standing(self.ask.fingerprint) != Standing::Poison {
+    fn refuse_poison(&self) -> Result<(), Failure> {
+        if self.services.quarantine.standing(self.request.fingerprint) != Standing::Poison {
             return Ok(());
         }
-        let message = "runners crashed each time this request was aboard";
-        let ran = if self.ran { Ran::Yes } else { Ran::No };
+        let message = "runners crashed each time this request was in flight";
+        let ran = if self.may_have_run { Ran::Yes } else { Ran::No };
         Err(Failure::new(Kind::Poison, message).ran(ran))
     }
 
-    /// The engine run to send to; a suspect waits for one to itself.
+    /// Returns the engine run to send to; for a suspect, isolates the runner first.
     ///
-    /// Returns `None` when the runner cannot be had now.
+    /// Returns `None` if the runner is not available now.
     async fn engine_run(&mut self, runner: &Rc<Runner>) -> Option<EngineRun> {
-        let quarantine = &self.shared.quarantine;
-        if quarantine.standing(self.ask.fingerprint) == Standing::Clear {
+        let quarantine = &self.services.quarantine;
+        if quarantine.standing(self.request.fingerprint) == Standing::Clear {
             let boot = runner.report(|report| report.boot)?;
             let runner = runner.clone();
             return Some(EngineRun { runner, boot });
@@ -394,45 +419,49 @@
         let isolation = quarantine.isolate(runner).await?;
         let run = isolation.run.clone();
         self.isolation = Some(isolation);
-        self.probation_ends = self.tokens + PROBATION_TOKENS;
+        self.probation_end_token = self.tokens + PROBATION_TOKENS;
         Some(run)
     }
 
-    /// Gives the connection back once its answer has been read to its end.
-    fn give_back(&mut self) {
+    /// Returns the connection to the pool once its response has been read to the end.
+    fn return_connection(&mut self) {
         let Some(attempt) = self.attempt.take() else {
             return;
         };
-        let pool = self.shared.pool.clone();
+        let pool = self.services.pool.clone();
         compio::runtime::spawn(async move {
-            if attempt.reader.finish(SILENCE).await {
+            if attempt.reader.read_to_end(SILENCE_TIMEOUT).await {
                 pool.put(attempt.connection);
             }
         })
         .detach();
     }
 
-    /// Finds a runner that takes the request, or what is left of it.
-    async fn open(&mut self) -> Result<Attempt, Failure> {
+    /// Finds a runner and opens a stream for the request, or for the rest of its answer.
+    async fn open_stream(&mut self) -> Result<Attempt, Failure> {
         loop {
             if self.tokens == 0 && self.time_left().is_zero() {
-                return Err(self.late());
+                return Err(self.deadline_failure());
             }
-            if self.fruitless >= MAX_FRUITLESS {
-                return Err(self.exhausted("every attempt failed"));
+            if self.attempts_without_token >= MAX_ATTEMPTS_WITHOUT_TOKEN {
+                return Err(self.unserved_failure("too many attempts in a row failed"));
             }
-            if !self.shared.router.refreshed().await {
-                return Err(self.exhausted("this VM's view of the fleet is too old"));
+            if !self.services.router.refreshed().await {
+                return Err(self.unserved_failure("this VM's view of the fleet is out of date"));
             }
-            self.refuse_suspect()?;
+            self.refuse_poison()?;
             let pinned = self.tokens > 0;
-            let in_line = !self.holds_back() || self.ticket.as_ref().is_none_or(Ticket::is_first);
-            let choice = in_line
+            let is_next_in_queue =
+                !self.defers_to_urgent() || self.ticket.as_ref().is_none_or(Ticket::is_first);
+            let choice = is_next_in_queue
                 .then(|| {
-                    let holds_back = self.holds_back();
-                    self.shared
-                        .router
-                        .choose(&self.ask, pinned, holds_back, &self.avoid)
+                    let defers_to_urgent = self.defers_to_urgent();
+                    self.services.router.choose(
+                        &self.request,
+                        pinned,
+                        defers_to_urgent,
+                        &self.excluded_runners,
+                    )
                 })
                 .flatten();
             let Some(choice) = choice else {
@@ -443,110 +472,126 @@
                 self.wait_for_runner().await?;
                 continue;
             };
-            // Another sending of it may have crashed a runner while this one waited.
-            self.refuse_suspect()?;
+            // A duplicate of this request may have crashed a runner in the meantime.
+            self.refuse_poison()?;
             self.ticket = None;
-            if self.attempts > 0 && !self.shared.budget.take(self.tokens > 0) {
-                return Err(self.exhausted("too many requests are being retried now"));
+            if self.attempts > 0 && !self.services.budget.take(self.tokens > 0) {
+                return Err(self.unserved_failure("too many requests are being retried now"));
             }
             self.attempts += 1;
-            self.fruitless += 1;
+            self.attempts_without_token += 1;
             let runner = choice.runner.clone();
-            let outcome = self.try_on(choice, run.clone()).await;
+            let outcome = self.start_attempt(choice, run.clone()).await;
             if outcome.is_err() {
                 self.isolation = None;
             }
             match outcome {
                 Ok(attempt) => return Ok(attempt),
-                Err(AttemptError::Final(failure)) => return Err(self.with_ran(failure)),
-                Err(AttemptError::NotLoaded) => self.pass_over(&runner.name, "not_loaded"),
-                Err(AttemptError::Outdated) => {
-                    // Nothing was sent: the next attempt is no retry.
+                Err(AttemptError::Final(failure)) => return Err(self.with_run_state(failure)),
+                Err(AttemptError::NotLoaded) => self.exclude_runner(&runner.name, "not_loaded"),
+                Err(AttemptError::StaleView) => {
+                    // Nothing was sent, so the next attempt does not count as a retry.
                     self.attempts -= 1;
-                    self.pass_over(&runner.name, "outdated");
+                    self.exclude_runner(&runner.name, "outdated");
                 }
                 Err(AttemptError::NotRun(cause)) => {
                     runner.note_broken();
-                    self.pass_over(&runner.name, cause);
+                    self.exclude_runner(&runner.name, cause);
                 }
                 Err(AttemptError::MaybeRun(cause)) => {
-                    self.ran = true;
+                    self.may_have_run = true;
                     runner.note_broken();
-                    self.pass_over(&runner.name, cause);
-                    self.note_cut(&run).await;
+                    self.exclude_runner(&runner.name, cause);
+                    self.check_for_crash(&run).await;
                 }
                 Err(AttemptError::StaleConnection) => {
-                    // A new connection to the same runner is no retry.
-                    self.ran = true;
-                    self.note_cut(&run).await;
-                    self.shared.pool.clear(runner.address);
+                    // Sending again on a new connection does not count as a retry.
+                    self.may_have_run = true;
+                    self.check_for_crash(&run).await;
+                    self.services.pool.clear(runner.address);
                     self.attempts -= 1;
-                    self.fruitless -= 1;
+                    self.attempts_without_token -= 1;
                 }
             }
         }
     }
 
-    fn pass_over(&mut self, runner: &Name, cause: &'static str) {
+    fn exclude_runner(&mut self, runner: &Name, cause: &'static str) {
         emit(
             Event::Resumed,
             format_args!(
                 "request={} runner={runner} token={} cause={cause}",
-                self.ask.id, self.tokens
+                self.request.id, self.tokens
             ),
         );
-        self.avoid.push(runner.clone());
+        self.excluded_runners.push(runner.clone());
     }
 
-    /// Waits a moment for a copy that is being loaded; without one in sight, gives up at once.
+    /// Waits briefly if a runner may become available, such as one that is loading a copy or
+    /// restarting.
+    ///
+    /// # Errors
+    ///
+    /// Fails at once if no runner is expected to become available, or if time has run out.
     async fn wait_for_runner(&mut self) -> Result<(), Failure> {
-        let (router, target) = (&self.shared.router, &self.ask.target);
+        let (router, target) = (&self.services.router, &self.request.target);
         let pinned = self.tokens > 0;
         let now = Instant::now();
-        let is_hopeful = now < self.hopeful_until
+        let may_become_available = now < self.restart_expected_until
             || router.is_coming(target, pinned)
             || router.is_served(target);
-        if now >= self.give_up_at || !is_hopeful {
-            return Err(self.exhausted("no runner can take the request now"));
+        if now >= self.give_up_at || !may_become_available {
+            return Err(self.unserved_failure("no runner can take the request now"));
         }
-        if self.ticket.is_none() && self.ask.priority == Priority::Batch {
-            self.ticket = Some(self.shared.router.queue(&self.ask));
+        if self.ticket.is_none() && self.request.priority == Priority::Batch {
+            self.ticket = Some(self.services.router.queue(&self.request));
         }
-        self.avoid.clear();
-        compio::time::sleep(NO_RUNNER_PAUSE).await;
+        self.excluded_runners.clear();
+        compio::time::sleep(NO_RUNNER_RETRY_INTERVAL).await;
         Ok(())
     }
 
-    fn exhausted(&self, cause: &str) -> Failure {
+    fn unserved_failure(&self, cause: &str) -> Failure {
         if self.tokens > 0 {
-            let message = format!("the stream broke and could not go on: {cause}");
+            let message = format!("the stream broke and could not be resumed: {cause}");
             return Failure::new(Kind::Interrupted, message);
         }
-        self.with_ran(Failure::new(Kind::Unavailable, cause))
+        self.with_run_state(Failure::new(Kind::Unavailable, cause))
     }
 
-    async fn try_on(&mut self, choice: Choice, run: EngineRun) -> Result<Attempt, AttemptError> {
+    async fn start_attempt(
+        &mut self,
+        choice: Choice,
+        run: EngineRun,
+    ) -> Result<Attempt, AttemptError> {
         emit(
             Event::Routed,
             format_args!(
                 "request={} model={} runner={} score={:.2} others={}",
-                self.ask.id, choice.target.base, choice.runner.name, choice.score, choice.others
+                self.request.id,
+                choice.target.base,
+                choice.runner.name,
+                choice.score,
+                choice.others
             ),
         );
-        let in_flight = choice.runner.enter(self.ask.priority);
-        if self.ask.priority == Priority::Urgent {
-            self.shared.router.make_room_on(&choice.runner);
+        let in_flight = choice.runner.enter(self.request.priority);
+        if self.request.priority == Priority::Urgent {
+            self.services.router.make_room_on(&choice.runner);
         }
-        let body = self.body_for(&choice.target);
+        let body = self.engine_body(&choice.target);
         let (connection, response) = self.send(&choice, body).await?;
         match response.status() {
             StatusCode::OK => {}
             StatusCode::BAD_REQUEST => {
-                let failure = Failure::new(Kind::Malformed, "the engine cannot read the request");
+                let failure = Failure::new(
+                    Kind::Malformed,
+                    "the engine rejected the request as malformed",
+                );
                 return Err(AttemptError::Final(failure));
             }
             StatusCode::NOT_FOUND => {
-                // The report that led here is older than an unload.
+                // The artifact was unloaded after the report by which the runner was chosen.
                 choice.runner.note_not_loaded(&choice.target.artifacts());
                 return Err(AttemptError::NotLoaded);
             }
@@ -555,9 +600,9 @@
             }
             _ => return Err(AttemptError::MaybeRun("failed_in_engine")),
         }
-        self.ran = true;
-        // What follows must come from the version that began.
-        self.ask.target = choice.target;
+        self.may_have_run = true;
+        // The rest of the answer must come from the same version.
+        self.request.target = choice.target;
         Ok(Attempt {
             reader: SseReader::new(response.into_body()),
             connection,
@@ -572,10 +617,10 @@
         body: Bytes,
     ) -> Result<(Connection, hyper::Response<hyper::body::Incoming>), AttemptError> {
         let address = choice.runner.address;
-        let id = hyper::header::HeaderValue::from_str(&self.ask.id)
-            .expect("request ids are checked or made here");
-        let build = || {
-            let mut request = request(
+        let id = hyper::header::HeaderValue::from_str(&self.request.id)
+            .expect("request ids are valid header values");
+        let build_post = || {
+            let mut request = build_request(
                 Method::POST,
                 address,
                 COMPLETIONS_PATH,
@@ -584,11 +629,15 @@
             request.headers_mut().insert("x-request-id", id.clone());
             request
         };
-        if !self.shared.router.may_send(choice) {
-            return Err(AttemptError::Outdated);
+        if !self.services.router.may_send(choice) {
+            return Err(AttemptError::StaleView);
         }
-        if let Some(mut idle) = self.shared.pool.take(address) {
-            let sent = compio::time::timeout(self.limit(IDLE_SILENCE), idle.send(build())).await;
+        if let Some(mut idle) = self.services.pool.take(address) {
+            let sent = compio::time::timeout(
+                self.capped_timeout(REUSED_CONNECTION_TIMEOUT),
+                idle.send(build_post()),
+            )
+            .await;
             match sent {
                 Ok(Ok(response)) => return Ok((idle, response)),
                 Ok(Err(SendError::NotSent)) => {}
@@ -597,13 +646,18 @@
                 }
             }
         }
-        let connected = Connection::open(address, self.limit(CONNECT_TIMEOUT)).await;
+        let connected = Connection::open(address, self.capped_timeout(CONNECT_TIMEOUT)).await;
         let mut connection =
             connected.map_err(|_not_sent| AttemptError::NotRun("no_connection"))?;
-        if !self.shared.router.may_send(choice) {
-            return Err(AttemptError::Outdated);
+        if !self.services.router.may_send(choice) {
+            return Err(AttemptError::StaleView);
         }
-        match compio::time::timeout(self.limit(SILENCE), connection.send(build())).await {
+        match compio::time::timeout(
+            self.capped_timeout(SILENCE_TIMEOUT),
+            connection.send(build_post()),
+        )
+        .await
+        {
             Ok(Ok(response)) => Ok((connection, response)),
             Ok(Err(SendError::NotSent)) => Err(AttemptError::NotRun("not_sent")),
             Ok(Err(SendError::MaybeSent)) => Err(AttemptError::MaybeRun("cut")),
@@ -611,8 +665,8 @@
         }
     }
 
-    /// A timeout that does not reach beyond the deadline of the first token.
-    fn limit(&self, timeout: Duration) -> Duration {
+    /// Caps a timeout at the deadline, as long as the first token has not arrived.
+    fn capped_timeout(&self, timeout: Duration) -> Duration {
         if self.tokens > 0 {
             timeout
         } else {
@@ -620,11 +674,11 @@
         }
     }
 
-    /// The request as an engine takes it, from the next token on.
-    fn body_for(&self, target: &Target) -> Bytes {
-        let mut body = self.ask.body.clone();
+    /// Builds the request body for an engine; a resumed request starts at the next token.
+    fn engine_body(&self, target: &Target) -> Bytes {
+        let mut body = self.request.body.clone();
         body.insert("stream".into(), true.into());
-        body.insert("priority".into(), self.ask.priority.rank().into());
+        body.insert("priority".into(), self.request.priority.rank().into());
         body.insert("version".into(), target.base.version.as_str().into());
         if let Some(adapter) = &target.adapter {
             body.insert("adapter_version".into(), adapter.version.as_str().into());
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,4 +1,6 @@
-//! The engines' own interface: reports and orders, as small HTTP/JSON calls.
+//! Client for the HTTP/JSON interface of engines: state reports, and orders to load or unload.
+//!
+//! An engine is the model-serving process of a runner.
 
 use crate::client::{Connection, Pool};
 use crate::http::{Body, read_body};
@@ -9,26 +11,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long an engine may take to answer a report or an order.
+/// Time limit for connecting to an engine, and for its answer to a report or an order.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The largest answer, in bytes.
+/// The largest report accepted, in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// What an engine says of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Report {
-    /// The run of the engine.
+    /// Identifies this run of the engine; a restarted engine reports another value.
     pub(crate) boot: u64,
-    /// Requests running, as of some time ago.
+    /// Number of running requests; the figure may lag behind the engine's actual state.
     pub(crate) running: u32,
-    /// Requests waiting, as of some time ago.
+    /// Number of queued requests; the figure may lag behind the engine's actual state.
     pub(crate) waiting: u32,
-    /// What is in memory now.
+    /// Artifacts that are in memory now.
     pub(crate) artifacts: Vec<ReportedArtifact>,
 }
 
 impl Report {
-    /// Finds an artifact by the name that engines use.
+    /// Finds an artifact by its name, as in [`ReportedArtifact::name`].
     pub(crate) fn find(&self, name: &str) -> Option<&ReportedArtifact> {
         self.artifacts.iter().find(|held| held.name == name)
     }
@@ -39,76 +41,76 @@
 pub(crate) struct ReportedArtifact {
     /// `model@version` or `model/adapter@version`.
     pub(crate) name: String,
-    /// Memory it takes.
+    /// Memory that the artifact occupies, in MiB.
     pub(crate) mib: u64,
-    /// Whether requests for it run.
+    /// Whether the artifact is being loaded, ready or being unloaded.
     pub(crate) state: ReportedState,
 }
 
-/// Where an artifact stands in the engine.
+/// The loading state of an artifact in an engine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ReportedState {
-    /// Being loaded.
+    /// The artifact is being loaded.
     Loading,
-    /// Loaded.
+    /// The artifact is loaded and serves requests.
     Ready,
-    /// Finishing its requests before it goes.
+    /// The artifact finishes its running requests before it is unloaded.
     Unloading,
 }
 
-/// An order to an engine.
+/// An order to an engine, as sent over HTTP.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Order<'a> {
     /// `load`, `unload` or `fence`.
     pub(crate) order: &'a str,
     /// `model@version` or `model/adapter@version`; empty for `fence`.
     pub(crate) artifact: &'a str,
-    /// Memory to take.
+    /// Memory to reserve, in MiB.
     pub(crate) mib: u64,
-    /// The fencing number.
+    /// The fencing token: engines reject orders with a lower one than they have accepted.
     pub(crate) fence: u64,
 }
 
-/// What became of an order.
+/// The result of sending an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum OrderAnswer {
-    /// It is done or under way.
+    /// The engine has executed the order or is executing it.
     Accepted,
-    /// A higher fencing number was accepted before.
+    /// The engine has already accepted a higher fencing token.
     Fenced,
-    /// It cannot be done, such as for want of memory.
+    /// The engine cannot execute the order, for example because it lacks memory.
     Refused,
-    /// It did not leave this process.
+    /// The order was not sent.
     NotSent,
-    /// It may have arrived, or may arrive later.
+    /// No answer was received; the order may have arrived or may still arrive.
     Unanswered,
 }
 
-/// Calls to engines.
+/// Sends report requests and orders to engines.
 #[derive(Debug)]
 pub(crate) struct EngineClient {
     pool: Rc<Pool>,
-    bytes: Counter,
+    report_bytes: Counter,
 }
 
 impl EngineClient {
-    /// A client over a pool of its own that counts the bytes of reports.
-    pub(crate) fn new(bytes: Counter) -> Self {
+    /// Creates a client with its own connection pool; `report_bytes` counts the bytes of reports.
+    pub(crate) fn new(report_bytes: Counter) -> Self {
         Self {
             pool: Rc::default(),
-            bytes,
+            report_bytes,
         }
     }
 
-    /// Asks an engine for its report; `None` when it does not answer.
+    /// Requests an engine's report; returns `None` if there is no valid answer in time.
     pub(crate) async fn report(&self, address: SocketAddr) -> Option<Report> {
         let call = async {
             let mut connection = match self.pool.take(address) {
                 Some(connection) => connection,
                 None => Connection::open(address, CALL_TIMEOUT).await.ok()?,
             };
-            let request = request(Method::GET, address, "/report", Body::empty());
+            let request = build_request(Method::GET, address, "/report", Body::empty());
             let response = connection.send(request).await.ok()?;
             if response.status() != StatusCode::OK {
                 return None;
@@ -117,7 +119,7 @@
                 .await
                 .ok()?;
             self.pool.put(connection);
-            self.bytes.inc_by(body.len() as u64);
+            self.report_bytes.inc_by(body.len() as u64);
             serde_json::from_slice(&body).ok()
         };
         match compio::time::timeout(CALL_TIMEOUT, call).await {
@@ -129,13 +131,13 @@
         }
     }
 
-    /// Gives an order once, over a connection of its own.
+    /// Sends an order once, over a new connection.
     pub(crate) async fn order(&self, address: SocketAddr, order: &Order<'_>) -> OrderAnswer {
         let Ok(mut connection) = Connection::open(address, CALL_TIMEOUT).await else {
             return OrderAnswer::NotSent;
         };
         let body = serde_json::to_vec(order).expect("orders serialize");
-        let request = request(Method::POST, address, "/orders", Body::full(body));
+        let request = build_request(Method::POST, address, "/orders", Body::full(body));
         match compio::time::timeout(CALL_TIMEOUT, connection.send(request)).await {
             Ok(Ok(response)) => match response.status() {
                 StatusCode::OK | StatusCode::ACCEPTED => OrderAnswer::Accepted,
@@ -148,8 +150,8 @@
     }
 }
 
-/// Builds a request to a backend server.
-pub(crate) fn request(
+/// Builds an HTTP request with a JSON content type to a backend server.
+pub(crate) fn build_request(
     method: Method,
     address: SocketAddr,
     path: &str,
@@ -161,5 +163,5 @@
         .header(header::HOST, address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(body)
-        .expect("paths come from routes that parsed")
+        .expect("paths are constants or come from parsed requests")
 }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,15 +1,17 @@
-//! The callers' side: routes, limits and answers.
+//! HTTP front end for callers: routing, concurrency limits, answers and streaming.
 
-use crate::completion::{COMPLETIONS_PATH, Completion, CompletionRequest, Shared, Step};
+use crate::completion::{
+    AnswerPart, COMPLETIONS_PATH, Completion, CompletionRequest, CompletionServices,
+};
 use crate::error::{Failure, Kind};
 use crate::events::{Event, emit};
 use crate::http::{AnswerSender, Body, ReadError, json_response, read_body};
 use crate::inventory::{Inventory, Name, PlainService, Priority};
 use crate::membership::Membership;
 use crate::metrics::{Metrics, RequestLabels};
-use crate::plain_service::{Call, PlainServiceClient};
+use crate::plain_service::{PlainServiceClient, ServiceCall};
 use crate::request_headers::{
-    Sender, deadline_ms, fingerprint, idempotency_key, request_id, sender,
+    CallerProfile, authenticate, deadline_ms, fingerprint, idempotency_key, request_id,
 };
 use crate::retry::RetryBudget;
 use crate::router::Target;
@@ -25,28 +27,28 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Events held for a caller that reads slowly.
-const STREAM_CAPACITY: usize = 16;
-/// How long a caller may take to read one event.
-const CALLER_STALL: Duration = Duration::from_secs(30);
+/// Number of events buffered for a caller that reads slowly.
+const STREAM_BUFFER_EVENTS: usize = 16;
+/// How long sending one event to a caller may block before the caller counts as gone.
+const CALLER_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The pause between a stream's error event and the cut that follows it.
-const ERROR_FLUSH: Duration = Duration::from_millis(50);
+/// The pause between a stream's error event and closing the connection, so that the event is sent.
+const ERROR_FLUSH_DELAY: Duration = Duration::from_millis(50);
 /// How long a caller may take to send a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// What a caller gets while its engine has no token: it shows that the path lives.
-const WAITING_COMMENT: &[u8] = b": waiting\n\n";
+/// The SSE comment sent while the engine has no token; it keeps the caller's connection alive.
+const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
 
-/// The callers' entry of one VM.
+/// Handles the requests of callers at one VM.
 pub(crate) struct Entry {
     control: Rc<ControlStream>,
     keys: Rc<KeyStream>,
-    completions: Rc<Shared>,
-    calls: Rc<PlainServiceClient>,
+    completion_services: Rc<CompletionServices>,
+    plain_services: Rc<PlainServiceClient>,
     metrics: Rc<Metrics>,
     shutdown: Rc<Shutdown>,
     membership: Rc<Membership>,
-    open: RefCell<HashMap<Name, u32>>,
+    in_flight: RefCell<HashMap<Name, u32>>,
     max_body_bytes: usize,
 }
 
@@ -54,52 +56,53 @@
     const NAME: &'static str = "entry";
 }
 
-/// Counts a caller's request as open until dropped.
-struct CallerGuard {
+/// Counts a caller's request as in flight until dropped.
+struct InFlightGuard {
     entry: Rc<Entry>,
     caller: Name,
     _open: OpenGuard,
 }
 
-impl Drop for CallerGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        if let Some(open) = self.entry.open.borrow_mut().get_mut(&self.caller) {
-            *open -= 1;
+        if let Some(in_flight) = self.entry.in_flight.borrow_mut().get_mut(&self.caller) {
+            *in_flight -= 1;
         }
     }
 }
 
 impl Entry {
-    /// An entry over the services it reads.
+    /// Creates an entry from the services registered in `kernel`.
     pub(crate) fn new(kernel: &Kernel, max_body_bytes: usize) -> Self {
         Self {
             control: kernel.find(),
             keys: kernel.find(),
-            completions: Rc::new(Shared {
+            completion_services: Rc::new(CompletionServices {
                 router: kernel.find(),
                 pool: Rc::default(),
                 budget: RetryBudget::default(),
                 quarantine: kernel.find(),
             }),
-            calls: kernel.find(),
+            plain_services: kernel.find(),
             metrics: kernel.find(),
             shutdown: kernel.find(),
             membership: kernel.find(),
-            open: RefCell::default(),
+            in_flight: RefCell::default(),
             max_body_bytes,
         }
     }
 
-    /// Whether this VM can take requests: it knows the configuration.
+    /// Whether this VM can accept requests, that is, has a configuration from the log or a peer.
     ///
-    /// While the log is down, calls that need a key are refused, and all others are served.
+    /// The VM stays ready while the log is down: it then refuses only calls that require an
+    /// idempotency key.
     pub(crate) fn is_ready(&self) -> bool {
         self.control.is_known()
             && (self.keys.is_ready() || self.keys.is_cut_off())
             && self.control.with(|control| control.revision > 0)
     }
 
-    /// Answers one request.
+    /// Answers one request; every answer carries the request id in `x-request-id`.
     pub(crate) async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         let id = request_id(request.headers());
         let mut response = match self.clone().route(request, &id).await {
@@ -116,7 +119,7 @@
                 failure.to_response()
             }
         };
-        let id = header::HeaderValue::from_str(&id).expect("request ids are checked or made here");
+        let id = header::HeaderValue::from_str(&id).expect("request ids are valid header values");
         response.headers_mut().insert("x-request-id", id);
         response
     }
@@ -134,18 +137,23 @@
             return Err(Failure::new(Kind::Unavailable, message));
         }
         let inventory = self.control.with(|control| control.inventory.clone());
-        let sender = sender(&inventory, request.headers())?;
+        let caller = authenticate(&inventory, request.headers())?;
         match (request.method(), request.uri().path()) {
-            (&Method::POST, COMPLETIONS_PATH) => self.complete(request, id, sender).await,
+            (&Method::POST, COMPLETIONS_PATH) => self.handle_completion(request, id, caller).await,
             (&Method::GET, "/v1/models") => Ok(models(&inventory)),
             (_, path) => match inventory.service_for(path) {
-                Some(service) => self.call(request, id, sender, service.clone()).await,
+                Some(service) => {
+                    self.call_service(request, id, caller, service.clone())
+                        .await
+                }
                 None => Err(Failure::new(Kind::NotFound, format!("no route for {path}"))),
             },
         }
     }
 
-    /// The balancer's health answer: it fails first when the VM leaves.
+    /// Returns the health answer for the load balancer.
+    ///
+    /// It turns to 503 as soon as the VM begins to leave, while requests are still accepted.
     pub(crate) fn health(&self) -> Response<Body> {
         let healthy = self.is_ready() && !self.shutdown.is_leaving();
         let status = if healthy {
@@ -161,66 +169,79 @@
         json_response(status, &body)
     }
 
-    /// Counts a request against its caller's limit.
-    fn enter(self: &Rc<Self>, sender: &Sender) -> Result<CallerGuard, Failure> {
-        let mut all = self.open.borrow_mut();
-        let open = all.entry(sender.name.clone()).or_default();
-        if sender.max_concurrent > 0 && *open >= sender.max_concurrent {
-            let message = format!("{} has {open} requests open, its limit", sender.name);
+    /// Counts a request against its caller's concurrency limit.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the caller has reached its limit.
+    fn count_in_flight(self: &Rc<Self>, caller: &CallerProfile) -> Result<InFlightGuard, Failure> {
+        let mut all = self.in_flight.borrow_mut();
+        let in_flight = all.entry(caller.name.clone()).or_default();
+        if caller.max_concurrent > 0 && *in_flight >= caller.max_concurrent {
+            let message = format!(
+                "{} has {in_flight} requests in flight, which is its limit",
+                caller.name
+            );
             return Err(Failure::new(Kind::Overloaded, message));
         }
-        *open += 1;
-        Ok(CallerGuard {
+        *in_flight += 1;
+        Ok(InFlightGuard {
             entry: self.clone(),
-            caller: sender.name.clone(),
+            caller: caller.name.clone(),
             _open: self.shutdown.enter(),
         })
     }
 
-    async fn read(&self, body: Incoming) -> Result<Bytes, Failure> {
+    async fn read_request_body(&self, body: Incoming) -> Result<Bytes, Failure> {
         let limit_bytes = self.max_body_bytes;
         let read = compio::time::timeout(BODY_TIMEOUT, read_body(body, limit_bytes));
         let (kind, message) = match read.await {
             Ok(Ok(bytes)) => return Ok(bytes),
             Ok(Err(ReadError::TooLarge)) => {
-                let message = format!("the body is larger than {limit_bytes} bytes");
+                let message = format!("the request body is larger than {limit_bytes} bytes");
                 (Kind::TooLarge, message)
             }
-            Ok(Err(ReadError::Cut)) => (Kind::Malformed, "the body broke off".to_owned()),
-            Err(_elapsed) => (Kind::BodyTimeout, "the body did not arrive".to_owned()),
+            Ok(Err(ReadError::Cut)) => (Kind::Malformed, "the request body ended early".to_owned()),
+            Err(_elapsed) => (
+                Kind::BodyTimeout,
+                "the request body did not arrive in time".to_owned(),
+            ),
         };
         Err(Failure::new(kind, message))
     }
 
-    async fn call(
+    async fn call_service(
         self: Rc<Self>,
         request: Request<Incoming>,
         id: &Name,
-        sender: Sender,
+        caller: CallerProfile,
         service: PlainService,
     ) -> Result<Response<Body>, Failure> {
-        let _guard = self.enter(&sender)?;
+        let _guard = self.count_in_flight(&caller)?;
         let (parts, body) = request.into_parts();
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-        let call = Call {
+        let call = ServiceCall {
             id: id.clone(),
-            caller: sender.name.clone(),
+            caller: caller.name.clone(),
             method: parts.method.clone(),
             path: path.into(),
-            body: self.read(body).await?,
+            body: self.read_request_body(body).await?,
         };
         let safe = matches!(parts.method, Method::GET | Method::HEAD | Method::OPTIONS);
         let outcome = if safe || service.idempotent {
-            self.calls.call_idempotent(&service, call).await
+            self.plain_services.call_idempotent(&service, call).await
         } else {
             let key = idempotency_key(&parts.headers)?;
-            self.calls.clone().call_once(service, call, key).await
+            self.plain_services
+                .clone()
+                .call_at_most_once(service, call, key)
+                .await
         };
-        self.count(sender.priority, outcome.as_ref().err());
+        self.count_outcome(caller.priority, outcome.as_ref().err());
         outcome
     }
 
-    fn count(&self, priority: Priority, failure: Option<&Failure>) {
+    fn count_outcome(&self, priority: Priority, failure: Option<&Failure>) {
         let outcome = failure.map_or("complete", |failure| failure.kind.answer().code);
         let labels = RequestLabels {
             priority: priority.as_str(),
@@ -229,42 +250,47 @@
         self.metrics.requests.get_or_create(&labels).inc();
     }
 
-    async fn complete(
+    async fn handle_completion(
         self: Rc<Self>,
         request: Request<Incoming>,
         id: &Name,
-        sender: Sender,
+        caller: CallerProfile,
     ) -> Result<Response<Body>, Failure> {
-        let guard = self.enter(&sender)?;
+        let guard = self.count_in_flight(&caller)?;
         let started = Instant::now();
-        let deadline_ms = deadline_ms(request.headers())?.unwrap_or(sender.deadline_ms);
-        let bytes = self.read(request.into_body()).await?;
+        let deadline_ms = deadline_ms(request.headers())?.unwrap_or(caller.deadline_ms);
+        let bytes = self.read_request_body(request.into_body()).await?;
         let body: Map<String, Value> = serde_json::from_slice(&bytes).map_err(|error| {
-            Failure::new(Kind::Malformed, format!("not a JSON object: {error}"))
+            Failure::new(
+                Kind::Malformed,
+                format!("the request body is not a JSON object: {error}"),
+            )
         })?;
         let streamed = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
-        let target = self.target(&body)?;
-        let ask = CompletionRequest {
+        let target = self.resolve_target(&body)?;
+        let completion_request = CompletionRequest {
             id: id.clone(),
             fingerprint: fingerprint(&body),
             target,
             body,
-            priority: sender.priority,
+            priority: caller.priority,
             deadline: started + Duration::from_millis(deadline_ms),
-            first_token_by: sender
+            first_token_by: caller
                 .first_token_ms
                 .map(|time_ms| started + Duration::from_millis(time_ms)),
         };
-        self.completions.router.note_arrival(&ask);
-        if let Err(failure) = self.completions.router.admit(&ask) {
-            self.count(sender.priority, Some(&failure));
+        self.completion_services
+            .router
+            .note_arrival(&completion_request);
+        if let Err(failure) = self.completion_services.router.admit(&completion_request) {
+            self.count_outcome(caller.priority, Some(&failure));
             return Err(failure);
         }
-        let mut completion = Completion::new(self.completions.clone(), ask);
+        let mut completion = Completion::new(self.completion_services.clone(), completion_request);
         let first = match completion.next().await {
-            Ok(step) => step,
+            Ok(part) => part,
             Err(failure) => {
-                self.count(sender.priority, Some(&failure));
+                self.count_outcome(caller.priority, Some(&failure));
                 return Err(failure);
             }
         };
@@ -272,23 +298,23 @@
         self.metrics
             .first_token
             .observe(started.elapsed().as_secs_f64());
-        let run = Run {
+        let answer = CompletionAnswer {
             entry: self.clone(),
             id: id.clone(),
-            priority: sender.priority,
+            priority: caller.priority,
             started,
             first_token_at,
             completion,
             _guard: guard,
         };
         if streamed {
-            Ok(run.stream(first))
+            Ok(answer.stream(first))
         } else {
-            run.collect(first).await
+            answer.collect(first).await
         }
     }
 
-    fn target(&self, body: &Map<String, Value>) -> Result<Target, Failure> {
+    fn resolve_target(&self, body: &Map<String, Value>) -> Result<Target, Failure> {
         let name = body
             .get("model")
             .and_then(Value::as_str)
@@ -305,21 +331,21 @@
     }
 }
 
-/// A completion with its caller.
-struct Run {
+/// A completion and what is needed to answer its caller and to record the outcome.
+struct CompletionAnswer {
     entry: Rc<Entry>,
     id: Name,
     priority: Priority,
     started: Instant,
     first_token_at: Instant,
     completion: Completion,
-    _guard: CallerGuard,
+    _guard: InFlightGuard,
 }
 
-impl Run {
-    /// Passes events on as they come.
-    fn stream(self, first: Step) -> Response<Body> {
-        let (sender, body) = Body::answer(STREAM_CAPACITY);
+impl CompletionAnswer {
+    /// Answers with a stream that passes events on as they arrive.
+    fn stream(self, first: AnswerPart) -> Response<Body> {
+        let (sender, body) = Body::answer(STREAM_BUFFER_EVENTS);
         compio::runtime::spawn(self.relay(first, sender)).detach();
         let mut response = Response::new(body);
         response.headers_mut().insert(
@@ -329,56 +355,60 @@
         response
     }
 
-    /// Relays steps until the last; a sender that is dropped before cuts the connection.
-    async fn relay(mut self, first: Step, mut sender: AnswerSender) {
-        let mut step = Ok(first);
+    /// Relays the parts of the answer until the last.
+    ///
+    /// Dropping `sender` before `end_whole` closes the caller's connection in mid-stream.
+    async fn relay(mut self, first: AnswerPart, mut sender: AnswerSender) {
+        let mut part = Ok(first);
         loop {
-            let (bytes, last) = match &step {
-                Ok(Step::Token(event, _) | Step::Finish(event, _) | Step::Other(event)) => {
-                    (event.clone(), false)
-                }
-                Ok(Step::Waiting) => (Bytes::from_static(WAITING_COMMENT), false),
-                Ok(Step::Done(event)) => (event.clone(), true),
+            let (bytes, last) = match &part {
+                Ok(
+                    AnswerPart::Token(event, _)
+                    | AnswerPart::Finish(event, _)
+                    | AnswerPart::Other(event),
+                ) => (event.clone(), false),
+                Ok(AnswerPart::KeepAlive) => (Bytes::from_static(KEEP_ALIVE_COMMENT), false),
+                Ok(AnswerPart::Done(event)) => (event.clone(), true),
                 Err(failure) => (error_event(failure), true),
             };
-            let sent = compio::time::timeout(CALLER_STALL, sender.send(bytes)).await;
+            let sent = compio::time::timeout(CALLER_READ_TIMEOUT, sender.send(bytes)).await;
             if sent != Ok(true) {
-                return self.end("caller_gone", None);
+                return self.record_end("caller_gone", None);
             }
             if last {
                 break;
             }
-            step = self.completion.next().await;
+            part = self.completion.next().await;
         }
-        match step {
+        match part {
             Ok(_) => {
                 sender.end_whole();
-                self.end("complete", None);
+                self.record_end("complete", None);
             }
             Err(failure) => {
-                // The error goes out before the cut.
-                compio::time::sleep(ERROR_FLUSH).await;
-                self.end(failure.kind.answer().code, Some(&failure));
+                // Leaves time to send the error event before the connection is closed.
+                compio::time::sleep(ERROR_FLUSH_DELAY).await;
+                self.record_end(failure.kind.answer().code, Some(&failure));
             }
         }
     }
 
-    /// Reads the answer whole.
-    async fn collect(mut self, first: Step) -> Result<Response<Body>, Failure> {
+    /// Reads the whole answer and returns it as one JSON object.
+    async fn collect(mut self, first: AnswerPart) -> Result<Response<Body>, Failure> {
         let mut text = String::new();
         let mut finish = String::new();
-        let mut step = first;
+        let mut part = first;
         loop {
-            match step {
-                Step::Token(_, token) => text.push_str(&token),
-                Step::Finish(_, reason) => finish = reason,
-                Step::Other(_) | Step::Waiting => {}
-                Step::Done(_) => break,
+            match part {
+                AnswerPart::Token(_, token) => text.push_str(&token),
+                AnswerPart::Finish(_, reason) => finish = reason,
+                AnswerPart::Other(_) | AnswerPart::KeepAlive => {}
+                AnswerPart::Done(_) => break,
             }
-            step = match self.completion.next().await {
-                Ok(step) => step,
+            part = match self.completion.next().await {
+                Ok(part) => part,
                 Err(failure) => {
-                    self.end(failure.kind.answer().code, Some(&failure));
+                    self.record_end(failure.kind.answer().code, Some(&failure));
                     return Err(failure);
                 }
             };
@@ -393,21 +423,24 @@
             }],
             "usage": {"completion_tokens": self.completion.tokens()},
         });
-        self.end("complete", None);
+        self.record_end("complete", None);
         Ok(json_response(StatusCode::OK, &body))
     }
 
-    fn end(&self, outcome: &str, failure: Option<&Failure>) {
-        let (resumes, attempts) = self.completion.tries();
+    fn record_end(&self, outcome: &str, failure: Option<&Failure>) {
+        let (resumes, attempts) = self.completion.attempt_counts();
         let metrics = &self.entry.metrics;
         metrics.tokens.inc_by(self.completion.tokens().into());
         metrics.resumes.inc_by(resumes.into());
         metrics.retries.inc_by(attempts.saturating_sub(1).into());
-        self.entry.count(self.priority, failure);
+        self.entry.count_outcome(self.priority, failure);
         if outcome == "complete" {
             let streaming = self.first_token_at.elapsed();
             let tokens = self.completion.tokens();
-            self.entry.completions.router.note_answer(tokens, streaming);
+            self.entry
+                .completion_services
+                .router
+                .note_answer(tokens, streaming);
         }
         emit(
             Event::Answered,
--- a/src/plain_service.rs
+++ b/src/plain_service.rs
@@ -1,12 +1,12 @@
-//! Calls to plain services, and non-idempotent ones at most once.
+//! Calls to plain services; non-idempotent calls are sent at most once.
 //!
-//! A non-idempotent call needs an idempotency key. The key is claimed in the
-//! log before anything is sent, and only the first claim may send, once, on a
-//! connection of its own. After that the outcome is what the service answered,
-//! or unknown; it is never sent again.
+//! A non-idempotent call requires an idempotency key. The key is claimed in the log before the
+//! call is sent. Only the holder of the first claim sends the call, once and over a new
+//! connection. The outcome is then the service's answer, or unknown if no answer was received;
+//! the call is not sent again in either case.
 
 use crate::client::{Connection, SendError};
-use crate::engine::request;
+use crate::engine::build_request;
 use crate::error::{Failure, Kind, Ran};
 use crate::events::{Event, emit};
 use crate::http::{Body, read_body};
@@ -26,51 +26,55 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// How long a connection to a service may take.
+/// Time limit for connecting to a service.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the log may take to tell who claimed a key.
+/// Time limit for the log to return the verdict on a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long to wait for the outcome of a call that is under way.
+/// How long a repeated call waits for the outcome of the first call while that is in flight.
 const OUTCOME_WAIT: Duration = Duration::from_millis(3_000);
-/// The largest answer of a service, in bytes.
+/// The largest answer accepted from a service, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-/// The largest body kept for repeats, in bytes.
-const MAX_KEPT_BYTES: usize = 4 * 1024;
-/// Attempts at an idempotent call.
+/// The largest answer body stored in the log for repeated calls, in bytes.
+const MAX_STORED_BODY_BYTES: usize = 4 * 1024;
+/// Maximum number of servers that an idempotent call is sent to.
 const IDEMPOTENT_ATTEMPTS: usize = 3;
-/// Claims that one call may make, when the key is given back before it.
+/// Maximum number of claims by one call, if other calls claim the key first and release it.
 const MAX_CLAIMS: usize = 3;
-/// Attempts to record what became of a claim.
+/// Maximum number of attempts to record the outcome of a claim in the log.
 const RECORD_ATTEMPTS: u32 = 60;
-/// The pause between them.
-const RECORD_PAUSE: Duration = Duration::from_millis(1_000);
+/// The pause between two attempts to record an outcome.
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// A call to a plain service.
 #[derive(Clone, Debug)]
-pub(crate) struct Call {
-    /// Names the request through every process.
+pub(crate) struct ServiceCall {
+    /// The request id, which is passed on to the service.
     pub(crate) id: Name,
-    /// Who calls.
+    /// The caller's name.
     pub(crate) caller: Name,
-    /// The method.
+    /// The HTTP method.
     pub(crate) method: Method,
     /// The path with its query.
     pub(crate) path: Name,
-    /// The body.
+    /// The request body.
     pub(crate) body: Bytes,
 }
 
-/// An idempotency key with the time of its making.
+/// An idempotency key and its creation time.
 #[derive(Clone, Debug)]
 pub(crate) struct IdempotencyKey {
     /// The key as the caller sent it.
     pub(crate) text: Name,
-    /// When it was made, in milliseconds since the epoch.
+    /// When the key was created, in milliseconds since the Unix epoch.
     pub(crate) made_at_ms: u64,
 }
 
 impl IdempotencyKey {
-    /// Reads a key; its time is in a version 7 UUID, or in `time_ms`.
+    /// Parses a key; its creation time is `time_ms` if given, else that of a version 7 UUID.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the key is not 1 to 128 visible ASCII characters, or has no valid creation time.
     pub(crate) fn parse(text: &str, time_ms: Option<&str>) -> Result<Self, Failure> {
         if text.is_empty() || text.len() > 128 || !text.bytes().all(|byte| byte.is_ascii_graphic())
         {
@@ -103,29 +107,29 @@
     }
 }
 
-/// Gives calls to plain services.
+/// Sends calls to plain services.
 pub(crate) struct PlainServiceClient {
     control: Rc<ControlStream>,
     keys: Rc<KeyStream>,
     membership: Rc<Membership>,
     shutdown: Rc<Shutdown>,
     window: KeyWindow,
-    turn: Cell<usize>,
+    rotation: Cell<usize>,
 }
 
 impl Service for PlainServiceClient {
     const NAME: &'static str = "plain_calls";
 }
 
-/// How one attempt ended.
-enum Attempt {
+/// The outcome of sending a call to one server.
+enum CallOutcome {
     Answered(StatusCode, Name, Bytes),
     NotSent,
     Unknown,
 }
 
 impl PlainServiceClient {
-    /// Calls over the services it reads.
+    /// Creates a client; `window` limits the age of the idempotency keys that it claims.
     pub(crate) fn new(
         control: Rc<ControlStream>,
         keys: Rc<KeyStream>,
@@ -139,15 +143,15 @@
             membership,
             shutdown,
             window,
-            turn: Cell::new(0),
+            rotation: Cell::new(0),
         }
     }
 
-    /// Gives a call that may be repeated, again on another server if need be.
+    /// Sends an idempotent call and retries it on other servers if a server does not answer.
     pub(crate) async fn call_idempotent(
         &self,
         service: &PlainService,
-        call: Call,
+        call: ServiceCall,
     ) -> Result<Response<Body>, Failure> {
         let mut ran = false;
         for server in self
@@ -156,25 +160,25 @@
             .into_iter()
             .take(IDEMPOTENT_ATTEMPTS)
         {
-            match self.attempt(service, &server, &call).await {
-                Attempt::Answered(status, content_type, body) => {
-                    return Ok(answer(status, &content_type, body));
+            match self.try_server(service, &server, &call).await {
+                CallOutcome::Answered(status, content_type, body) => {
+                    return Ok(build_response(status, &content_type, body));
                 }
-                Attempt::NotSent => {}
-                Attempt::Unknown => ran = true,
+                CallOutcome::NotSent => {}
+                CallOutcome::Unknown => ran = true,
             }
         }
-        let failure = Failure::new(Kind::Unavailable, "no server of the service answers");
+        let failure = Failure::new(Kind::Unavailable, "no server of the service answered");
         Err(if ran { failure.ran(Ran::Yes) } else { failure })
     }
 
-    /// Gives a non-idempotent call at most once.
+    /// Sends a non-idempotent call at most once.
     ///
-    /// The call goes on when the caller hangs up, so that its outcome is kept.
-    pub(crate) async fn call_once(
+    /// The call continues if the caller disconnects, so that its outcome is recorded.
+    pub(crate) async fn call_at_most_once(
         self: Rc<Self>,
         service: PlainService,
-        call: Call,
+        call: ServiceCall,
         key: IdempotencyKey,
     ) -> Result<Response<Body>, Failure> {
         let (sender, receiver) = oneshot::channel();
@@ -182,42 +186,48 @@
         compio::runtime::spawn(async move {
             let _guard = guard;
             let outcome = self.claim_and_send(&service, &call, &key).await;
-            // The caller may be gone; the outcome is in the log.
+            // The receiver is gone if the caller disconnected; the outcome is in the log.
             let _ = sender.send(outcome);
         })
         .detach();
-        receiver
-            .await
-            .unwrap_or_else(|_gone| Err(Failure::new(Kind::OutcomeUnknown, "the call was lost")))
+        receiver.await.unwrap_or_else(|_gone| {
+            Err(Failure::new(
+                Kind::OutcomeUnknown,
+                "the call ended without an outcome",
+            ))
+        })
     }
 
     async fn claim_and_send(
         self: &Rc<Self>,
         service: &PlainService,
-        call: &Call,
+        call: &ServiceCall,
         key: &IdempotencyKey,
     ) -> Result<Response<Body>, Failure> {
         let hash = key_hash(service, call, key);
         let digest = call_digest(call, key);
         for _ in 0..MAX_CLAIMS {
-            let known = match self.keys.with(|keys| keys.look(hash, digest)) {
-                Some(known) => known,
+            let verdict = match self.keys.with(|keys| keys.look(hash, digest)) {
+                Some(verdict) => verdict,
                 None => match self.claim(hash, digest, key.made_at_ms).await? {
                     (KeyVerdict::First, claim) => {
                         return self.send_once(service, call, hash, claim).await;
                     }
-                    (known, _) => known,
+                    (verdict, _) => verdict,
                 },
             };
-            if let Some(outcome) = self.outcome_of(hash, digest, known).await {
+            if let Some(outcome) = self.outcome_for_repeat(hash, digest, verdict).await {
                 return outcome;
             }
         }
-        let message = "other calls with this key were refused; this one was not made";
+        let message = "other calls claimed the key and released it; this call was not sent";
         Err(Failure::new(Kind::Overloaded, message))
     }
 
-    /// Claims a key; a claim that is not known in time is given back if it comes to be.
+    /// Claims a key in the log; returns the verdict and the claim's fence.
+    ///
+    /// If the verdict does not arrive in time, the call fails, and the claim is released as soon
+    /// as it turns out to be the first.
     async fn claim(
         self: &Rc<Self>,
         key: KeyHash,
@@ -231,85 +241,86 @@
             window: self.window,
         };
         let (sender, mut receiver) = oneshot::channel();
-        let calls = self.clone();
+        let client = self.clone();
         let deadline = Instant::now() + CLAIM_TIMEOUT;
         compio::runtime::spawn(async move {
-            let Ok(recorded) = calls.keys.propose_by(command, deadline).await else {
+            let Ok(recorded) = client.keys.propose_by(command, deadline).await else {
                 return;
             };
             let claim = recorded.position.fence;
             let first = recorded.verdict == KeyVerdict::First;
             if sender.send((recorded.verdict, claim)).is_err() && first {
-                calls.release(key, claim).await;
+                client.release_key(key, claim).await;
             }
         })
         .detach();
         let unavailable = || {
             Failure::new(
                 Kind::LogUnavailable,
-                "the platform's log does not take the key now; the call was not made",
+                "the platform's log cannot record the key now; the call was not sent",
             )
         };
         match compio::time::timeout(CLAIM_TIMEOUT, &mut receiver).await {
-            Ok(known) => known.map_err(|_not_recorded| unavailable()),
+            Ok(verdict) => verdict.map_err(|_not_recorded| unavailable()),
             Err(_elapsed) => {
-                // From here on the claim is given back, unless it was known just now.
+                // After closing, the spawned task releases the claim, unless its verdict was
+                // sent just before and is still in the channel.
                 receiver.close();
-                let known = receiver.try_recv().ok().flatten();
-                known.ok_or_else(unavailable)
+                let verdict = receiver.try_recv().ok().flatten();
+                verdict.ok_or_else(unavailable)
             }
         }
     }
 
-    /// Gives a key back whose call was not sent and never will be.
-    async fn release(&self, key: KeyHash, claim: u64) {
+    /// Releases a key whose call was not sent and will not be sent.
+    async fn release_key(&self, key: KeyHash, claim: u64) {
         self.record(KeyCommand::Release { key, claim }).await;
     }
 
-    /// Records what became of a claim, also when the log is down for a while.
+    /// Records the outcome of a claim, with retries while the log is down.
     ///
-    /// Without the record, repeats are told that the outcome is unknown.
+    /// Without this record, repeated calls are answered that the outcome is unknown.
     async fn record(&self, command: KeyCommand) {
         let _guard = self.shutdown.enter();
         for _ in 0..RECORD_ATTEMPTS {
             if self.keys.propose(command.clone()).await.is_ok() {
                 return;
             }
-            compio::time::sleep(RECORD_PAUSE).await;
+            compio::time::sleep(RECORD_RETRY_INTERVAL).await;
         }
     }
 
     async fn send_once(
         self: &Rc<Self>,
         service: &PlainService,
-        call: &Call,
+        call: &ServiceCall,
         key: KeyHash,
         claim: u64,
     ) -> Result<Response<Body>, Failure> {
         for server in self.servers(service).await {
-            match self.attempt(service, &server, call).await {
-                Attempt::Answered(status, content_type, body) => {
-                    self.keep_reply(key, claim, status, &content_type, &body);
-                    return Ok(answer(status, &content_type, body));
+            match self.try_server(service, &server, call).await {
+                CallOutcome::Answered(status, content_type, body) => {
+                    self.store_reply(key, claim, status, &content_type, &body);
+                    return Ok(build_response(status, &content_type, body));
                 }
-                Attempt::NotSent => {}
-                Attempt::Unknown => {
+                CallOutcome::NotSent => {}
+                CallOutcome::Unknown => {
                     return Err(Failure::new(
                         Kind::OutcomeUnknown,
-                        "the call was sent, and no answer came; it will not be sent again",
+                        "the call was sent but not answered; it will not be sent again",
                     ));
                 }
             }
         }
-        let calls = self.clone();
-        compio::runtime::spawn(async move { calls.release(key, claim).await }).detach();
+        let client = self.clone();
+        compio::runtime::spawn(async move { client.release_key(key, claim).await }).detach();
         Err(Failure::new(
             Kind::Unavailable,
-            "no server of the service takes the call",
+            "no server of the service accepted the call",
         ))
     }
 
-    fn keep_reply(
+    fn store_reply(
         self: &Rc<Self>,
         key: KeyHash,
         claim: u64,
@@ -322,51 +333,51 @@
             status: status.as_u16(),
             content_type: content_type.clone(),
             body: text
-                .filter(|text| text.len() <= MAX_KEPT_BYTES)
+                .filter(|text| text.len() <= MAX_STORED_BODY_BYTES)
                 .map(Name::from),
         });
-        let calls = self.clone();
+        let client = self.clone();
         let command = KeyCommand::Reply { key, claim, reply };
-        compio::runtime::spawn(async move { calls.record(command).await }).detach();
+        compio::runtime::spawn(async move { client.record(command).await }).detach();
     }
 
-    /// The answer to a repeat of a key; none if the key was given back.
-    async fn outcome_of(
+    /// Returns the answer to a call that repeats a key; `None` if the key was released.
+    async fn outcome_for_repeat(
         &self,
         key: KeyHash,
         digest: u64,
-        known: KeyVerdict,
+        verdict: KeyVerdict,
     ) -> Option<Result<Response<Body>, Failure>> {
-        match known {
-            KeyVerdict::Replied(fence) => Some(self.kept_reply(fence).await),
+        match verdict {
+            KeyVerdict::Replied(fence) => Some(self.stored_reply(fence).await),
             KeyVerdict::Mismatch => Some(Err(Failure::new(
                 Kind::KeyReused,
-                "the idempotency key was used with another request or another time",
+                "the idempotency key was already used with another request or creation time",
             ))),
             KeyVerdict::Expired => Some(Err(Failure::new(
                 Kind::KeyExpired,
-                "the idempotency key is too old, or from the future",
+                "the idempotency key's creation time is too old or in the future",
             ))),
             KeyVerdict::Open | KeyVerdict::First | KeyVerdict::Noted => {
-                self.await_outcome(key, digest).await
+                self.wait_for_outcome(key, digest).await
             }
         }
     }
 
-    /// The answer recorded at a fence, from the log if it is no longer at hand.
-    async fn kept_reply(&self, fence: NonZeroU64) -> Result<Response<Body>, Failure> {
+    /// Returns the answer recorded at `fence`, from the cache or else from the log.
+    async fn stored_reply(&self, fence: NonZeroU64) -> Result<Response<Body>, Failure> {
         if let Some(reply) = self.keys.with(|keys| keys.recent_reply(fence)) {
-            return answer_reply(&reply);
+            return replay_response(&reply);
         }
         if let Ok(Some(KeyCommand::Reply { reply, .. })) = self.keys.command_at(fence.get()).await {
-            return answer_reply(&reply);
+            return replay_response(&reply);
         }
-        let message = "the call with this key ran; its answer cannot be read from the log now";
+        let message = "the call with this key ran, but its answer cannot be read from the log now";
         let failure = Failure::new(Kind::OutcomeUnknown, message);
         Err(failure.ran(Ran::Yes).retry_after_s(5))
     }
 
-    async fn await_outcome(
+    async fn wait_for_outcome(
         &self,
         key: KeyHash,
         digest: u64,
@@ -375,26 +386,28 @@
         while start.elapsed() < OUTCOME_WAIT {
             let changed = self.keys.changed();
             if let KeyVerdict::Replied(fence) = self.keys.with(|keys| keys.look(key, digest))? {
-                return Some(self.kept_reply(fence).await);
+                return Some(self.stored_reply(fence).await);
             }
             let left = OUTCOME_WAIT.saturating_sub(start.elapsed());
             if compio::time::timeout(left, changed).await.is_err() {
                 break;
             }
         }
-        let message = "a call with this key was made, and its outcome is not known";
+        let message = "a call with this key was claimed before, and its outcome is not known";
         Some(Err(
             Failure::new(Kind::OutcomeUnknown, message).retry_after_s(5)
         ))
     }
 
-    /// The servers of a service that stay, each call beginning with the next.
+    /// Returns the servers of a service that are not leaving, rotated by one for each call.
+    ///
+    /// The list is empty if this VM's view of the fleet cannot be refreshed.
     async fn servers(&self, service: &PlainService) -> Vec<BackendServer> {
         if !self.membership.refreshed(&self.control).await {
             return Vec::new();
         }
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
+        let rotation = self.rotation.get();
+        self.rotation.set(rotation.wrapping_add(1));
         let mut servers: Vec<BackendServer> = self.control.with(|control| {
             service
                 .backend_servers
@@ -406,19 +419,19 @@
                 .collect()
         });
         if !servers.is_empty() {
-            let start = turn % servers.len();
+            let start = rotation % servers.len();
             servers.rotate_left(start);
         }
         servers
     }
 
-    /// Sends a call once, on a connection of its own.
-    async fn attempt(
+    /// Sends a call once to a server, over a new connection.
+    async fn try_server(
         &self,
         service: &PlainService,
         server: &BackendServer,
-        call: &Call,
-    ) -> Attempt {
+        call: &ServiceCall,
+    ) -> CallOutcome {
         emit(
             Event::CallRouted,
             format_args!(
@@ -428,36 +441,40 @@
         );
         let chosen_at = Instant::now();
         let Ok(connection) = Connection::open(server.address, CONNECT_TIMEOUT).await else {
-            return Attempt::NotSent;
+            return CallOutcome::NotSent;
         };
         if !self
             .membership
             .may_send(&self.control, &server.name, chosen_at)
         {
-            return Attempt::NotSent;
+            return CallOutcome::NotSent;
         }
         let timeout = Duration::from_millis(service.timeout_ms);
-        let exchange = exchange(connection, server.address, call);
+        let exchange = send_and_read(connection, server.address, call);
         match compio::time::timeout(timeout, exchange).await {
-            Ok(attempt) => attempt,
-            Err(_elapsed) => Attempt::Unknown,
+            Ok(outcome) => outcome,
+            Err(_elapsed) => CallOutcome::Unknown,
         }
     }
 }
 
-async fn exchange(mut connection: Connection, address: SocketAddr, call: &Call) -> Attempt {
-    let mut request = request(
+async fn send_and_read(
+    mut connection: Connection,
+    address: SocketAddr,
+    call: &ServiceCall,
+) -> CallOutcome {
+    let mut request = build_request(
         call.method.clone(),
         address,
         &call.path,
         Body::full(call.body.clone()),
     );
-    let id = header::HeaderValue::from_str(&call.id).expect("request ids are checked or made here");
+    let id = header::HeaderValue::from_str(&call.id).expect("request ids are valid header values");
     request.headers_mut().insert("x-request-id", id);
     let response = match connection.send(request).await {
         Ok(response) => response,
-        Err(SendError::NotSent) => return Attempt::NotSent,
-        Err(SendError::MaybeSent) => return Attempt::Unknown,
+        Err(SendError::NotSent) => return CallOutcome::NotSent,
+        Err(SendError::MaybeSent) => return CallOutcome::Unknown,
     };
     let status = response.status();
     let content_type = response
@@ -466,12 +483,12 @@
         .and_then(|value| value.to_str().ok())
         .map_or_else(|| arcstr::literal!("application/octet-stream"), Name::from);
     match read_body(response.into_body(), MAX_ANSWER_BYTES).await {
-        Ok(body) => Attempt::Answered(status, content_type, body),
-        Err(_) => Attempt::Unknown,
+        Ok(body) => CallOutcome::Answered(status, content_type, body),
+        Err(_) => CallOutcome::Unknown,
     }
 }
 
-fn answer(status: StatusCode, content_type: &str, body: Bytes) -> Response<Body> {
+fn build_response(status: StatusCode, content_type: &str, body: Bytes) -> Response<Body> {
     let mut response = Response::new(Body::full(body));
     *response.status_mut() = status;
     if let Ok(value) = header::HeaderValue::from_str(content_type) {
@@ -480,17 +497,18 @@
     response
 }
 
-fn answer_reply(reply: &Reply) -> Result<Response<Body>, Failure> {
+fn replay_response(reply: &Reply) -> Result<Response<Body>, Failure> {
     let Some(body) = &reply.body else {
         let message = format!(
-            "the call with this key ran, with status {}; its answer was too large to be kept",
+            "the call with this key ran with status {}; its answer body was not stored, \
+             as it was too large or not text",
             reply.status
         );
         return Err(Failure::new(Kind::OutcomeUnknown, message).ran(Ran::Yes));
     };
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::OK);
     let body = Bytes::from(body.as_bytes().to_vec());
-    let mut response = answer(status, &reply.content_type, body);
+    let mut response = build_response(status, &reply.content_type, body);
     response.headers_mut().insert(
         "idempotent-replayed",
         header::HeaderValue::from_static("true"),
@@ -498,14 +516,16 @@
     Ok(response)
 }
 
-fn key_hash(service: &PlainService, call: &Call, key: &IdempotencyKey) -> KeyHash {
+fn key_hash(service: &PlainService, call: &ServiceCall, key: &IdempotencyKey) -> KeyHash {
     let text = format!("{}\n{}\n{}", service.name, call.caller, key.text);
     let hash = xxh3_128(text.as_bytes());
     KeyHash((hash >> 64) as u64, hash as u64)
 }
 
-/// Two calls of one key are the same only if their keys' times are, too.
-fn call_digest(call: &Call, key: &IdempotencyKey) -> u64 {
+/// Hashes the content of a call, to detect a key that is reused for another call.
+///
+/// The key's creation time is part of the digest, so a repeat must carry the same one.
+fn call_digest(call: &ServiceCall, key: &IdempotencyKey) -> u64 {
     let head = format!("{} {} {}\n", call.method, call.path, key.made_at_ms);
     xxh3_64(&[head.as_bytes(), &call.body[..]].concat())
 }
--- a/src/sse.rs
+++ b/src/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of a completion, read one by one.
+//! Parser for the server-sent events (SSE) of a streamed completion.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -7,38 +7,38 @@
 use std::borrow::Cow;
 use std::time::Duration;
 
-/// The end of an event.
+/// The blank line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// The prefix of an event's data.
-const DATA: &[u8] = b"data: ";
+/// The prefix of an event's data line.
+const DATA_PREFIX: &[u8] = b"data: ";
 /// The data of the last event of a complete stream.
-const DONE: &[u8] = b"[DONE]";
-/// The largest event, in bytes.
+const DONE_DATA: &[u8] = b"[DONE]";
+/// The largest event accepted, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Why a stream ended before its last event.
+/// The reason a stream ended before its last event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Broken {
-    /// The connection ended or broke.
-    Cut,
-    /// Nothing came for too long, not even a comment.
-    Silent,
-    /// What came is not an event of a completion.
-    Garbled,
+pub(crate) enum StreamError {
+    /// The connection was closed or reset.
+    Disconnected,
+    /// No data arrived within the idle timeout, not even a comment.
+    TimedOut,
+    /// The received data is not an event of a completion, or the event is too large.
+    Malformed,
 }
 
-/// One event.
+/// One event of a completion stream.
 #[derive(Debug, PartialEq)]
 pub(crate) enum SseEvent {
-    /// A token, with the event as it came and the token's text.
+    /// A token: the raw event and the token's text.
     Token(Bytes, String),
-    /// The event with the finish reason.
+    /// The finish reason: the raw event and the reason.
     Finish(Bytes, String),
-    /// The stream is complete.
+    /// The `[DONE]` event that ends a complete stream.
     Done(Bytes),
     /// An event without a token, such as one with the role or the usage.
     Other(Bytes),
-    /// A comment: the other end lives.
+    /// A comment, which the engine sends to keep the connection alive.
     Comment,
 }
 
@@ -62,7 +62,7 @@
     content: Option<Cow<'a, str>>,
 }
 
-/// The events of one answer.
+/// Reads events from the body of one streamed response.
 #[derive(Debug)]
 pub(crate) struct SseReader {
     body: Incoming,
@@ -70,7 +70,7 @@
 }
 
 impl SseReader {
-    /// Reads events from an answer's body.
+    /// Creates a reader over a response body.
     pub(crate) fn new(body: Incoming) -> Self {
         Self {
             body,
@@ -78,41 +78,47 @@
         }
     }
 
-    /// Waits for the next event, at most `silence` between two chunks.
-    pub(crate) async fn next(&mut self, silence: Duration) -> Result<SseEvent, Broken> {
+    /// Waits for the next event, for at most `idle_timeout` between two chunks of the body.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the stream ends, stalls or is malformed before a whole event has arrived.
+    pub(crate) async fn next(&mut self, idle_timeout: Duration) -> Result<SseEvent, StreamError> {
         loop {
-            if let Some(event) = self.take_event() {
+            if let Some(event) = self.split_event() {
                 return parse(event);
             }
             if self.buffer.len() > MAX_EVENT_BYTES {
-                return Err(Broken::Garbled);
+                return Err(StreamError::Malformed);
             }
-            let frame = compio::time::timeout(silence, self.body.frame())
+            let frame = compio::time::timeout(idle_timeout, self.body.frame())
                 .await
-                .map_err(|_elapsed| Broken::Silent)?;
+                .map_err(|_elapsed| StreamError::TimedOut)?;
             match frame {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         self.buffer.extend_from_slice(&data);
                     }
                 }
-                Some(Err(_)) | None => return Err(Broken::Cut),
+                Some(Err(_)) | None => return Err(StreamError::Disconnected),
             }
         }
     }
 
-    /// Reads on to the end of the body; true if its connection can be used again.
-    pub(crate) async fn finish(mut self, silence: Duration) -> bool {
+    /// Waits for the end of the body after the last event.
+    ///
+    /// Returns true if the body ended cleanly, so that the connection can be reused.
+    pub(crate) async fn read_to_end(mut self, idle_timeout: Duration) -> bool {
         if !self.buffer.is_empty() {
             return false;
         }
         matches!(
-            compio::time::timeout(silence, self.body.frame()).await,
+            compio::time::timeout(idle_timeout, self.body.frame()).await,
             Ok(None)
         )
     }
 
-    fn take_event(&mut self) -> Option<Bytes> {
+    fn split_event(&mut self) -> Option<Bytes> {
         let end = self
             .buffer
             .windows(EVENT_END.len())
@@ -121,16 +127,19 @@
     }
 }
 
-fn parse(event: Bytes) -> Result<SseEvent, Broken> {
+fn parse(event: Bytes) -> Result<SseEvent, StreamError> {
     if event.starts_with(b":") {
         return Ok(SseEvent::Comment);
     }
-    let data = event.strip_prefix(DATA).ok_or(Broken::Garbled)?;
+    let data = event
+        .strip_prefix(DATA_PREFIX)
+        .ok_or(StreamError::Malformed)?;
     let data = data.strip_suffix(EVENT_END).unwrap_or(data);
-    if data == DONE {
+    if data == DONE_DATA {
         return Ok(SseEvent::Done(event));
     }
-    let chunk: Chunk<'_> = serde_json::from_slice(data).map_err(|_unknown| Broken::Garbled)?;
+    let chunk: Chunk<'_> =
+        serde_json::from_slice(data).map_err(|_unknown| StreamError::Malformed)?;
     let Some(choice) = chunk.choices.into_iter().next() else {
         return Ok(SseEvent::Other(event));
     };
