--- a/src/admission.rs
+++ b/src/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::completion::CompletionRequest;
 use crate::error::{Failure, Kind};
-use crate::fleet::{Load, Runner};
+use crate::fleet::{InFlightCounts, Runner};
 use crate::inventory::{AdmissionRule, Name, Priority};
 use crate::router::Router;
 use std::collections::HashMap;
@@ -72,15 +72,15 @@
     }
 
     /// Lets own batch requests give way on a runner where an urgent one found no slot.
-    pub(crate) fn make_room_on(&self, runner: &Runner) {
+    pub(crate) fn request_batch_yields(&self, runner: &Runner) {
         let peers = self.membership.peer_loads();
         if self.batch_yields() && self.urgent_waiting(runner, &peers) > 0 {
-            runner.want_yields(1);
+            runner.request_yields(1);
         }
     }
 
     /// Lets own batch requests give way to peers' urgent ones, until the process ends.
-    pub(crate) async fn keep_room(self: Rc<Self>) {
+    pub(crate) async fn run_batch_yields(self: Rc<Self>) {
         loop {
             compio::time::sleep(LOOK_INTERVAL).await;
             if !self.batch_yields() {
@@ -88,7 +88,7 @@
             }
             let peers = self.membership.peer_loads();
             for runner in self.fleet.runners() {
-                runner.want_yields(self.share_of_yields(&runner, &peers));
+                runner.request_yields(self.share_of_yields(&runner, &peers));
             }
         }
     }
@@ -99,14 +99,14 @@
     }
 
     /// Urgent requests that wait on a runner because of batch ones.
-    fn urgent_waiting(&self, runner: &Runner, peers: &HashMap<Name, Load>) -> u32 {
+    fn urgent_waiting(&self, runner: &Runner, peers: &HashMap<Name, InFlightCounts>) -> u32 {
         let load = total(runner, peers);
         let slots = self.slots_of(runner).unwrap_or(u32::MAX);
         load.all.saturating_sub(slots).min(load.all - load.batch)
     }
 
     /// This VM's part of the yields that a runner needs, in proportion to its batch requests.
-    fn share_of_yields(&self, runner: &Runner, peers: &HashMap<Name, Load>) -> u32 {
+    fn share_of_yields(&self, runner: &Runner, peers: &HashMap<Name, InFlightCounts>) -> u32 {
         let needed = f64::from(self.urgent_waiting(runner, peers));
         let batch = f64::from(total(runner, peers).batch.max(1));
         let share = needed * f64::from(runner.in_flight().batch) / batch;
@@ -116,6 +116,6 @@
 }
 
 /// Requests in flight on a runner, of this VM and its peers.
-fn total(runner: &Runner, peers: &HashMap<Name, Load>) -> Load {
+fn total(runner: &Runner, peers: &HashMap<Name, InFlightCounts>) -> InFlightCounts {
     runner.in_flight() + peers.get(&runner.name).copied().unwrap_or_default()
 }
--- a/src/callers/ledger.rs
+++ b/src/callers/ledger.rs
@@ -8,7 +8,7 @@
 use crate::callers::peer_usage::Told;
 use crate::callers::quota_estimate::Outlook;
 use crate::callers::usage::{History, Usage};
-use crate::callers::{Organisation, Quota, QuotaBounds, Tally};
+use crate::callers::{Organisation, Quota, QuotaBounds, UsageReport};
 use crate::inventory::Name;
 use crate::short_id::short_id;
 use std::collections::HashMap;
@@ -210,7 +210,7 @@
     }
 
     /// What this VM granted, to tell its zone.
-    pub(crate) fn own_tally(&mut self, now: Instant) -> Tally {
+    pub(crate) fn vm_report(&mut self, now: Instant) -> UsageReport {
         let window = self.bounds.window;
         let remembering_vms = self.own_memory(now);
         let accounts = self.accounts.iter_mut();
@@ -219,7 +219,7 @@
             age < window + TELL_EMPTY_FOR
         });
         let usages = told.map(|(name, it)| (short_id(name), it.history.usage(window, now)));
-        Tally {
+        UsageReport {
             vms: 1,
             remembering_vms,
             usages: usages.collect(),
@@ -227,8 +227,8 @@
     }
 
     /// What this VM and its zone granted, to tell other zones.
-    pub(crate) fn zone_tally(&mut self, now: Instant) -> Tally {
-        let own = self.own_tally(now);
+    pub(crate) fn zone_report(&mut self, now: Instant) -> UsageReport {
+        let own = self.vm_report(now);
         let fresh = || self.near.values().filter(|told| told.is_fresh(now));
         let vms = own.vms + fresh().map(|told| told.vms).sum::<u32>();
         let remembering = fresh().map(|told| told.remembering_vms).sum::<f64>();
@@ -242,7 +242,7 @@
                 }
             }
         }
-        Tally {
+        UsageReport {
             vms,
             remembering_vms,
             usages: usages.into_iter().collect(),
@@ -250,10 +250,10 @@
     }
 
     /// Takes over what a VM of the own zone tells of itself, and will tell again after `next_in`.
-    pub(crate) fn take_near(
+    pub(crate) fn apply_vm_report(
         &mut self,
         sender: SocketAddr,
-        tally: Tally,
+        tally: UsageReport,
         next_in: Duration,
         now: Instant,
     ) {
@@ -266,7 +266,7 @@
 
     /// Takes over what a VM of another zone tells of that zone. A VM there that hears few others
     /// does not stand for all that a better one told a moment ago.
-    pub(crate) fn take_far(&mut self, zone: &Name, tally: Tally, now: Instant) {
+    pub(crate) fn apply_zone_report(&mut self, zone: &Name, tally: UsageReport, now: Instant) {
         let told = self
             .far
             .entry(zone.clone())
@@ -278,7 +278,7 @@
     }
 
     /// Forgets what counts no more.
-    pub(crate) fn forget(&mut self, now: Instant) {
+    pub(crate) fn prune_expired(&mut self, now: Instant) {
         let window = self.bounds.window;
         self.near.retain(|_, told| told.prune(window, now));
         self.far.retain(|_, told| told.prune(window, now));
--- a/src/callers/peer_usage.rs
+++ b/src/callers/peer_usage.rs
@@ -1,6 +1,6 @@
 //! What others told of their grants.
 
-use crate::callers::Tally;
+use crate::callers::UsageReport;
 use crate::callers::usage::Usage;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -56,7 +56,7 @@
     }
 
     /// Takes over a tally, whose sender will tell again after `next_in`.
-    pub(super) fn take(&mut self, tally: Tally, next_in: Duration, now: Instant) {
+    pub(super) fn take(&mut self, tally: UsageReport, next_in: Duration, now: Instant) {
         self.at = now;
         self.fresh_for = MIN_FRESH.max(next_in.mul_f64(FRESH_TELLINGS));
         self.vms = tally.vms;
--- a/src/callers/quota.rs
+++ b/src/callers/quota.rs
@@ -11,7 +11,7 @@
     /// be generated.
     Tokens {
         /// What a request counts as that tells none.
-        untold: f64,
+        default_tokens: f64,
     },
 }
 
@@ -31,7 +31,7 @@
     pub(crate) fn amount(&self, tokens: Option<f64>) -> f64 {
         match self.measure {
             Measure::Requests => 1.0,
-            Measure::Tokens { untold } => tokens.unwrap_or(untold),
+            Measure::Tokens { default_tokens } => tokens.unwrap_or(default_tokens),
         }
     }
 }
--- a/src/callers/quota_estimate.rs
+++ b/src/callers/quota_estimate.rs
@@ -1,7 +1,7 @@
 //! What is left of one organisation's quota, as one VM knows it.
 
 use crate::callers::Quota;
-use crate::callers::usage::{ASKED_SPAN, SPANS, Usage, spans};
+use crate::callers::usage::{ASKED_SPAN, SPAN_COUNT, Usage, spans};
 use std::time::Duration;
 
 /// The part of the margin above a quota that is granted; the rest covers what is granted unseen,
@@ -69,7 +69,7 @@
         let at_once = burst + MARGIN_SHARE * self.sure_margin();
         let spans = spans(self.window).map(|span| span.as_secs_f64());
         let mut granted = self.usage.granted;
-        granted[SPANS - 1] += self.forgotten();
+        granted[SPAN_COUNT - 1] += self.forgotten();
         let newest_per_s = granted[0] / spans[0];
         let lefts = spans.iter().zip(granted).map(|(span_s, granted)| {
             // What is told was true a moment ago; where grants grow, the sum is above it by now.
--- a/src/callers/register.rs
+++ b/src/callers/register.rs
@@ -22,13 +22,13 @@
 
 /// All organisations of one configuration, by their keys.
 #[derive(Debug)]
-pub(crate) struct Register {
+pub(crate) struct ApiKeyIndex {
     /// Drawn at random, so that callers cannot choose keys that share a hash.
     seed: u64,
     holders: HashMap<u64, Vec<Holder>>,
 }
 
-impl Register {
+impl ApiKeyIndex {
     /// A register of organisations with their keys.
     pub(crate) fn new(organisations: Vec<(Organisation, Vec<ApiKey>)>) -> Self {
         let mut register = Self {
--- a/src/callers/tally.rs
+++ b/src/callers/tally.rs
@@ -4,7 +4,7 @@
 
 /// What one VM, or all of a zone, tell of the grants there.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Tally {
+pub(crate) struct UsageReport {
     /// How many VMs it sums up.
     pub(crate) vms: u32,
     /// How many of these remember the whole window; one that has started within it counts in part.
--- a/src/callers/tests/keys.rs
+++ b/src/callers/tests/keys.rs
@@ -1,6 +1,6 @@
 //! Keys are found by what they are, and shown to nobody.
 
-use crate::callers::{ApiKey, Organisation, Register};
+use crate::callers::{ApiKey, ApiKeyIndex, Organisation};
 use proptest::prelude::*;
 
 fn organisation(name: &str) -> Organisation {
@@ -11,15 +11,15 @@
     }
 }
 
-fn register(listed: &[(&str, &[&str])]) -> Register {
+fn register(listed: &[(&str, &[&str])]) -> ApiKeyIndex {
     let listed = listed.iter().map(|(name, keys)| {
         let keys = keys.iter().map(|key| ApiKey::new(key.as_bytes()));
         (organisation(name), keys.collect())
     });
-    Register::new(listed.collect())
+    ApiKeyIndex::new(listed.collect())
 }
 
-fn holder(register: &Register, key: &str) -> Option<String> {
+fn holder(register: &ApiKeyIndex, key: &str) -> Option<String> {
     let holder = register.holder(&ApiKey::new(key.as_bytes()))?;
     Some(holder.name.to_string())
 }
--- a/src/callers/usage.rs
+++ b/src/callers/usage.rs
@@ -5,16 +5,16 @@
 
 /// Spans over which grants are summed: the quota's window and parts of it, so that what is spent
 /// early in a window is known before the window has gone.
-pub(crate) const SPANS: usize = 3;
+pub(crate) const SPAN_COUNT: usize = 3;
 /// The part of the quota's window that each span takes.
-const SPAN_SHARES: [f64; SPANS] = [1.0 / 16.0, 1.0 / 4.0, 1.0];
+const SPAN_SHARES: [f64; SPAN_COUNT] = [1.0 / 16.0, 1.0 / 4.0, 1.0];
 /// The span over which what was asked for is summed.
 pub(crate) const ASKED_SPAN: Duration = Duration::from_secs(1);
 /// The time over which amounts are kept as one.
 const BIN: Duration = Duration::from_millis(100);
 
 /// The spans of a window, the shortest first.
-pub(crate) fn spans(window: Duration) -> [Duration; SPANS] {
+pub(crate) fn spans(window: Duration) -> [Duration; SPAN_COUNT] {
     SPAN_SHARES.map(|share| window.mul_f64(share))
 }
 
@@ -24,7 +24,7 @@
     /// Asked for within [`ASKED_SPAN`], granted or not.
     pub(crate) asked: f64,
     /// Granted within each of the [`spans`].
-    pub(crate) granted: [f64; SPANS],
+    pub(crate) granted: [f64; SPAN_COUNT],
 }
 
 impl Usage {
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -4,11 +4,11 @@
 
 use crate::batch_queue::Ticket;
 use crate::client::{Connection, Pool, SendError};
-use crate::control::Standing;
+use crate::control::SuspectStatus;
 use crate::engine::build_request;
 use crate::error::{Failure, Kind, Ran};
 use crate::events::{Event, emit};
-use crate::fleet::{InFlight, Runner};
+use crate::fleet::{InFlightGuard, Runner};
 use crate::http::Body;
 use crate::inventory::{Name, Priority};
 use crate::quarantine::{EngineRun, Isolation, Quarantine};
@@ -95,7 +95,7 @@
     reader: SseReader,
     connection: Connection,
     run: EngineRun,
-    in_flight: InFlight,
+    in_flight: InFlightGuard,
 }
 
 /// The services that all completions of a VM share.
@@ -348,7 +348,7 @@
     fn end_isolation(&mut self, cleared: bool) {
         let quarantine = &self.services.quarantine;
         let fingerprint = self.request.fingerprint;
-        if cleared && quarantine.standing(fingerprint) == Standing::Suspect {
+        if cleared && quarantine.standing(fingerprint) == SuspectStatus::Suspect {
             quarantine.clear(fingerprint);
         }
         self.isolation = None;
@@ -398,7 +398,7 @@
     }
 
     fn refuse_poison(&self) -> Result<(), Failure> {
-        if self.services.quarantine.standing(self.request.fingerprint) != Standing::Poison {
+        if self.services.quarantine.standing(self.request.fingerprint) != SuspectStatus::Poison {
             return Ok(());
         }
         let message = "runners crashed each time this request was in flight";
@@ -411,7 +411,7 @@
     /// Returns `None` if the runner is not available now.
     async fn engine_run(&mut self, runner: &Rc<Runner>) -> Option<EngineRun> {
         let quarantine = &self.services.quarantine;
-        if quarantine.standing(self.request.fingerprint) == Standing::Clear {
+        if quarantine.standing(self.request.fingerprint) == SuspectStatus::Clear {
             let boot = runner.report(|report| report.boot)?;
             let runner = runner.clone();
             return Some(EngineRun { runner, boot });
@@ -539,7 +539,7 @@
         let now = Instant::now();
         let may_become_available = now < self.restart_expected_until
             || router.is_coming(target, pinned)
-            || router.is_served(target);
+            || router.has_ready_runner(target);
         if now >= self.give_up_at || !may_become_available {
             return Err(self.unserved_failure("no runner can take the request now"));
         }
@@ -575,9 +575,9 @@
                 choice.others
             ),
         );
-        let in_flight = choice.runner.enter(self.request.priority);
+        let in_flight = choice.runner.track_request(self.request.priority);
         if self.request.priority == Priority::Urgent {
-            self.services.router.make_room_on(&choice.runner);
+            self.services.router.request_batch_yields(&choice.runner);
         }
         let body = self.engine_body(&choice.target);
         let (connection, response) = self.send(&choice, body).await?;
--- a/src/control/artifact.rs
+++ b/src/control/artifact.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether both serve the same name, in whatever version.
-    pub(crate) fn serves_same(&self, other: &Self) -> bool {
+    pub(crate) fn has_same_name(&self, other: &Self) -> bool {
         self.model == other.model && self.adapter == other.adapter
     }
 
--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -7,7 +7,7 @@
 
 /// The claim that an order is given under.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Under {
+pub(crate) struct ClaimRef {
     /// The group of runners.
     pub(crate) group: Name,
     /// The fence of the claim.
@@ -25,7 +25,7 @@
 
 /// What an engine reports to hold.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Held {
+pub(crate) struct HeldCopy {
     /// The artifact.
     pub(crate) artifact: Artifact,
     /// Memory it takes.
@@ -48,19 +48,19 @@
     Claim { group: Name, vm: Name, after: u64 },
     /// Sets memory aside and allows the order to load.
     Load {
-        under: Under,
+        under: ClaimRef,
         runner: Name,
         artifact: Artifact,
     },
     /// Allows the order to unload; the memory stays taken until settled.
     Unload {
-        under: Under,
+        under: ClaimRef,
         runner: Name,
         artifact: Artifact,
     },
     /// Ends an order. `clean` says that no copy of it can still arrive.
     Settle {
-        under: Under,
+        under: ClaimRef,
         runner: Name,
         artifact: Artifact,
         intent: u64,
@@ -69,30 +69,30 @@
     },
     /// Enters what a runner holds though no order of ours loaded it.
     Adopt {
-        under: Under,
+        under: ClaimRef,
         runner: Name,
-        held: Held,
+        held: HeldCopy,
         boot: u64,
     },
     /// Notes that a runner does not hold a copy any more that no order of ours unloaded.
     Lose {
-        under: Under,
+        under: ClaimRef,
         runner: Name,
         artifact: Artifact,
         boot: u64,
     },
     /// Notes that a runner does not answer; its open loads are given up.
-    MarkDown { under: Under, runner: Name },
+    MarkDown { under: ClaimRef, runner: Name },
     /// Gives a fencing number that does nothing but outdate older ones.
-    Fence { under: Under, runner: Name },
+    Fence { under: ClaimRef, runner: Name },
     /// Begins a runner's book anew with what it holds, after a start or a silence.
     /// `fenced` says that the engine refuses all orders from before.
     Reset {
-        under: Under,
+        under: ClaimRef,
         runner: Name,
         boot: u64,
         fenced: bool,
-        held: Vec<Held>,
+        held: Vec<HeldCopy>,
     },
     /// Says something of requests that may crash runners.
     Suspect(SuspectCommand),
@@ -100,7 +100,7 @@
 
 impl Command {
     /// The claim and the runner of an order.
-    pub(crate) fn under(&self) -> Option<(&Under, &Name)> {
+    pub(crate) fn under(&self) -> Option<(&ClaimRef, &Name)> {
         match self {
             Self::Load { under, runner, .. }
             | Self::Unload { under, runner, .. }
--- a/src/control/crash_suspects.rs
+++ b/src/control/crash_suspects.rs
@@ -34,7 +34,7 @@
 
 /// What is known of a request by its fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Standing {
+pub(crate) enum SuspectStatus {
     /// No runner crashed with it aboard.
     Clear,
     /// A runner crashed with it aboard; it may run alone.
@@ -70,11 +70,11 @@
 
 impl Suspects {
     /// What is known of a request.
-    pub(crate) fn standing(&self, fingerprint: u64) -> Standing {
+    pub(crate) fn standing(&self, fingerprint: u64) -> SuspectStatus {
         match self.crashes.get(&fingerprint) {
-            None => Standing::Clear,
-            Some(crashes) if crashes.runs.len() < MAX_CRASHES => Standing::Suspect,
-            Some(_) => Standing::Poison,
+            None => SuspectStatus::Clear,
+            Some(crashes) if crashes.runs.len() < MAX_CRASHES => SuspectStatus::Suspect,
+            Some(_) => SuspectStatus::Poison,
         }
     }
 
@@ -108,7 +108,7 @@
                 Verdict::Accepted
             }
             SuspectCommand::Clear { fingerprint } => {
-                if self.standing(fingerprint) != Standing::Suspect {
+                if self.standing(fingerprint) != SuspectStatus::Suspect {
                     return Verdict::Refused;
                 }
                 self.crashes.remove(&fingerprint);
--- a/src/control/memory_ledger.rs
+++ b/src/control/memory_ledger.rs
@@ -1,6 +1,6 @@
 //! The book of one runner's accelerator memory.
 
-use super::{Artifact, Held, Outcome, Verdict};
+use super::{Artifact, HeldCopy, Outcome, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
 
 /// What one runner's memory holds or may come to hold.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(crate) struct RunnerBook {
+pub(crate) struct MemoryLedger {
     /// The run of the engine that the book is about.
     pub(crate) boot: u64,
     /// Whether the runner was recorded as not answering.
@@ -62,7 +62,7 @@
     pub(crate) copies: BTreeMap<Artifact, Copy>,
 }
 
-impl RunnerBook {
+impl MemoryLedger {
     /// The book of a runner that was never given an order.
     pub(super) const fn new() -> Self {
         Self {
@@ -175,7 +175,7 @@
     }
 
     /// Enters what the engine holds though the book has no copy of it.
-    pub(super) fn adopt(&mut self, given: Given, held: &Held, boot: u64) -> Verdict {
+    pub(super) fn adopt(&mut self, given: Given, held: &HeldCopy, boot: u64) -> Verdict {
         if self.boot != boot {
             return Verdict::Refused;
         }
@@ -218,7 +218,7 @@
         given: Given,
         boot: u64,
         fenced: bool,
-        held: &[Held],
+        held: &[HeldCopy],
     ) -> Verdict {
         let restarted = self.boot != boot;
         if !restarted && !self.down && !fenced {
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -11,9 +11,9 @@
 mod tests;
 
 pub(crate) use artifact::Artifact;
-pub(crate) use command::{Command, Held, Outcome, Under, Verdict};
-pub(crate) use crash_suspects::{Standing, SuspectCommand, Suspects};
-pub(crate) use memory_ledger::{Copy, CopyState, RunnerBook};
+pub(crate) use command::{ClaimRef, Command, HeldCopy, Outcome, Verdict};
+pub(crate) use crash_suspects::{SuspectCommand, SuspectStatus, Suspects};
+pub(crate) use memory_ledger::{Copy, CopyState, MemoryLedger};
 
 use crate::inventory::{Inventory, Name};
 use crate::replica::{Fold, Position};
@@ -48,18 +48,18 @@
     /// The claim on each group of runners.
     pub(crate) claims: BTreeMap<Name, Claim>,
     /// What each runner's memory holds or may come to hold.
-    pub(crate) books: BTreeMap<Name, RunnerBook>,
+    pub(crate) ledgers: BTreeMap<Name, MemoryLedger>,
     /// What late orders may still take at addresses that are not listed any more.
-    pub(crate) retired: BTreeMap<SocketAddr, RunnerBook>,
+    pub(crate) retired: BTreeMap<SocketAddr, MemoryLedger>,
     /// Requests that may crash runners.
     pub(crate) suspects: Suspects,
 }
 
 impl Control {
     /// The book of a runner, empty if nothing was ever ordered.
-    pub(crate) fn book(&self, runner: &str) -> &RunnerBook {
-        static EMPTY: RunnerBook = RunnerBook::new();
-        self.books.get(runner).unwrap_or(&EMPTY)
+    pub(crate) fn ledger(&self, runner: &str) -> &MemoryLedger {
+        static EMPTY: MemoryLedger = MemoryLedger::new();
+        self.ledgers.get(runner).unwrap_or(&EMPTY)
     }
 
     /// The runners that answer and on which an artifact is resident.
@@ -67,15 +67,15 @@
         &'a self,
         artifact: &'a Artifact,
     ) -> impl Iterator<Item = &'a Name> {
-        self.books
+        self.ledgers
             .iter()
-            .filter(|(_, book)| !book.down && book.is_resident(artifact))
+            .filter(|(_, ledger)| !ledger.down && ledger.is_resident(artifact))
             .map(|(runner, _)| runner)
     }
 
     /// Loads that were ordered and are not settled.
     pub(crate) fn open_loads(&self) -> usize {
-        self.books.values().map(RunnerBook::open_loads).sum()
+        self.ledgers.values().map(MemoryLedger::open_loads).sum()
     }
 
     fn publish(&mut self, fence: u64, base: u64, inventory: Rc<Inventory>) -> Verdict {
@@ -91,19 +91,19 @@
     /// Gives each runner the book of its address, under whatever name it had before.
     fn rebook(&mut self, next: &Inventory) {
         let mut by_address = mem::take(&mut self.retired);
-        let mut books = mem::take(&mut self.books);
+        let mut ledgers = mem::take(&mut self.ledgers);
         for server in self.inventory.runners() {
-            if let Some(book) = books.remove(&server.name) {
-                by_address.insert(server.address, book);
+            if let Some(ledger) = ledgers.remove(&server.name) {
+                by_address.insert(server.address, ledger);
             }
         }
         for server in next.runners() {
-            if let Some(book) = by_address.remove(&server.address) {
-                self.books.insert(server.name.clone(), book);
+            if let Some(ledger) = by_address.remove(&server.address) {
+                self.ledgers.insert(server.name.clone(), ledger);
             }
         }
-        by_address.values_mut().for_each(RunnerBook::retire);
-        by_address.retain(|_, book| !book.copies.is_empty());
+        by_address.values_mut().for_each(MemoryLedger::retire);
+        by_address.retain(|_, ledger| !ledger.copies.is_empty());
         self.retired = by_address;
     }
 
@@ -133,20 +133,20 @@
         {
             return false;
         }
-        !self.books.iter().any(|(name, book)| {
-            self.serves(name, book)
-                && book.copies.iter().any(|(other, copy)| {
+        !self.ledgers.iter().any(|(name, ledger)| {
+            self.serves(name, ledger)
+                && ledger.copies.iter().any(|(other, copy)| {
                     copy.state == CopyState::Resident
-                        && other.serves_same(artifact)
+                        && other.has_same_name(artifact)
                         && !(name == runner && other == artifact)
                 })
         })
     }
 
     /// Whether requests may go to the runner, as far as the log knows.
-    fn serves(&self, runner: &str, book: &RunnerBook) -> bool {
+    fn serves(&self, runner: &str, ledger: &MemoryLedger) -> bool {
         let server = self.inventory.backend_server(runner);
-        !book.down && server.is_some_and(|server| !server.leaving)
+        !ledger.down && server.is_some_and(|server| !server.leaving)
     }
 
     /// Memory of an artifact that is listed in this version.
@@ -174,9 +174,9 @@
         if self.open_loads() >= MAX_OPEN_LOADS {
             return Verdict::Refused;
         }
-        let room_mib = server.weights_room_mib();
-        let book = self.books.entry(runner.clone()).or_default();
-        book.load(given, artifact, mib, room_mib)
+        let room_mib = server.weights_capacity_mib();
+        let ledger = self.ledgers.entry(runner.clone()).or_default();
+        ledger.load(given, artifact, mib, room_mib)
     }
 
     fn order(&mut self, given: Given, runner: &Name, command: &Command) -> Verdict {
@@ -187,22 +187,22 @@
             }
             _ => {}
         }
-        let book = self.books.entry(runner.clone()).or_default();
+        let ledger = self.ledgers.entry(runner.clone()).or_default();
         match command {
-            Command::Unload { artifact, .. } => book.unload(given, artifact),
+            Command::Unload { artifact, .. } => ledger.unload(given, artifact),
             Command::Settle {
                 artifact,
                 intent,
                 outcome,
                 clean,
                 ..
-            } => book.settle(artifact, *intent, *outcome, *clean),
-            Command::Adopt { held, boot, .. } => book.adopt(given, held, *boot),
-            Command::Lose { artifact, boot, .. } => book.lose(artifact, *boot),
-            Command::MarkDown { .. } => book.mark_down(),
+            } => ledger.settle(artifact, *intent, *outcome, *clean),
+            Command::Adopt { held, boot, .. } => ledger.adopt(given, held, *boot),
+            Command::Lose { artifact, boot, .. } => ledger.lose(artifact, *boot),
+            Command::MarkDown { .. } => ledger.mark_down(),
             Command::Reset {
                 boot, fenced, held, ..
-            } => book.reset(given, *boot, *fenced, held),
+            } => ledger.reset(given, *boot, *fenced, held),
             Command::Fence { .. } => Verdict::Accepted,
             Command::Load { .. }
             | Command::Publish { .. }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -1,6 +1,6 @@
 //! What a runner's book says of requests to come.
 
-use super::{Artifact, Copy, CopyState, RunnerBook};
+use super::{Artifact, Copy, CopyState, MemoryLedger};
 use crate::router::Target;
 use googletest::prelude::*;
 
@@ -23,14 +23,14 @@
 }
 
 /// A book with the model resident, and its adapter in a state, if it is there at all.
-fn book(adapter: Option<CopyState>) -> RunnerBook {
-    let mut book = RunnerBook::default();
+fn ledger(adapter: Option<CopyState>) -> MemoryLedger {
+    let mut ledger = MemoryLedger::default();
     let model = copy(CopyState::Resident);
-    book.copies.insert(artifact(None), model);
+    ledger.copies.insert(artifact(None), model);
     if let Some(state) = adapter {
-        book.copies.insert(artifact(Some("adapter")), copy(state));
+        ledger.copies.insert(artifact(Some("adapter")), copy(state));
     }
-    book
+    ledger
 }
 
 #[googletest::test]
@@ -39,8 +39,8 @@
         base: artifact(None),
         adapter: Some(artifact(Some("adapter"))),
     };
-    expect_false!(target.is_coming_in(&book(None)));
-    expect_false!(target.is_coming_in(&book(Some(CopyState::Unloading))));
-    expect_true!(target.is_coming_in(&book(Some(CopyState::Loading))));
-    expect_true!(target.is_coming_in(&book(Some(CopyState::Resident))));
+    expect_false!(target.is_resident_or_loading_in(&ledger(None)));
+    expect_false!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Unloading))));
+    expect_true!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Loading))));
+    expect_true!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Resident))));
 }
--- a/src/dry_run.rs
+++ b/src/dry_run.rs
@@ -1,8 +1,8 @@
 //! What a publication would bring: the planning, run on a copy of the folded state.
 
-use crate::control::{Artifact, Command, Control, CopyState, Outcome, Under, Verdict};
+use crate::control::{Artifact, ClaimRef, Command, Control, CopyState, Outcome, Verdict};
 use crate::inventory::{Inventory, Name};
-use crate::placement::{Move, Planning};
+use crate::placement::{Move, PlacementPlanner};
 use crate::replica::{Fold, Position};
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -71,7 +71,7 @@
             let under = self.claim(&group);
             self.begin_books(&under);
             for _ in 0..MAX_ROUNDS {
-                let planned = Planning::new(&self.control, &group, &is_up).moves();
+                let planned = PlacementPlanner::new(&self.control, &group, &is_up).moves();
                 let before = moves.len();
                 moves.extend(
                     planned
@@ -99,7 +99,7 @@
         (verdict == Verdict::Accepted).then_some(self.fence)
     }
 
-    fn claim(&mut self, group: &Name) -> Under {
+    fn claim(&mut self, group: &Name) -> ClaimRef {
         let held = self.control.claims.get(group);
         let command = Command::Claim {
             group: group.clone(),
@@ -107,20 +107,20 @@
             after: held.map_or(0, |claim| claim.fence),
         };
         self.apply(command);
-        Under {
+        ClaimRef {
             group: group.clone(),
             claim: self.fence,
         }
     }
 
     /// Takes runners that nothing is known of for empty.
-    fn begin_books(&mut self, under: &Under) {
+    fn begin_books(&mut self, under: &ClaimRef) {
         let new: Vec<Name> = self
             .control
             .inventory
             .runners()
             .filter(|runner| runner.group == under.group)
-            .filter(|runner| self.control.book(&runner.name).boot == 0)
+            .filter(|runner| self.control.ledger(&runner.name).boot == 0)
             .map(|runner| runner.name.clone())
             .collect();
         for runner in new {
@@ -135,7 +135,7 @@
     }
 
     /// Gives an order and ends it as done.
-    fn carry_out(&mut self, under: &Under, planned: Move) -> Option<ForecastMove> {
+    fn carry_out(&mut self, under: &ClaimRef, planned: Move) -> Option<ForecastMove> {
         let (order, runner, artifact, reason) = match planned {
             Move::Load {
                 runner,
@@ -203,8 +203,8 @@
     }
 
     fn is_held(&self, artifact: &Artifact) -> bool {
-        self.control.books.values().any(|book| {
-            let copy = book.copies.get(artifact);
+        self.control.ledgers.values().any(|ledger| {
+            let copy = ledger.copies.get(artifact);
             copy.is_some_and(|copy| copy.state == CopyState::Resident)
         })
     }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -16,8 +16,8 @@
 use crate::retry::RetryBudget;
 use crate::router::Target;
 use crate::server::{ControlStream, KeyStream};
-use crate::service_registry::{Kernel, Service};
-use crate::shutdown::{OpenGuard, Shutdown};
+use crate::service_registry::{Service, ServiceRegistry};
+use crate::shutdown::{Shutdown, WorkGuard};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode, header};
@@ -60,7 +60,7 @@
 struct InFlightGuard {
     entry: Rc<Entry>,
     caller: Name,
-    _open: OpenGuard,
+    _open: WorkGuard,
 }
 
 impl Drop for InFlightGuard {
@@ -72,21 +72,21 @@
 }
 
 impl Entry {
-    /// Creates an entry from the services registered in `kernel`.
-    pub(crate) fn new(kernel: &Kernel, max_body_bytes: usize) -> Self {
+    /// Creates an entry from the services registered in `registry`.
+    pub(crate) fn new(registry: &ServiceRegistry, max_body_bytes: usize) -> Self {
         Self {
-            control: kernel.find(),
-            keys: kernel.find(),
+            control: registry.find(),
+            keys: registry.find(),
             completion_services: Rc::new(CompletionServices {
-                router: kernel.find(),
+                router: registry.find(),
                 pool: Rc::default(),
                 budget: RetryBudget::default(),
-                quarantine: kernel.find(),
+                quarantine: registry.find(),
             }),
-            plain_services: kernel.find(),
-            metrics: kernel.find(),
-            shutdown: kernel.find(),
-            membership: kernel.find(),
+            plain_services: registry.find(),
+            metrics: registry.find(),
+            shutdown: registry.find(),
+            membership: registry.find(),
             in_flight: RefCell::default(),
             max_body_bytes,
         }
@@ -97,7 +97,7 @@
     /// The VM stays ready while the log is down: it then refuses only calls that require an
     /// idempotency key.
     pub(crate) fn is_ready(&self) -> bool {
-        self.control.is_known()
+        self.control.has_usable_state()
             && (self.keys.is_ready() || self.keys.is_cut_off())
             && self.control.with(|control| control.revision > 0)
     }
@@ -201,7 +201,9 @@
                 let message = format!("the request body is larger than {limit_bytes} bytes");
                 (Kind::TooLarge, message)
             }
-            Ok(Err(ReadError::Cut)) => (Kind::Malformed, "the request body ended early".to_owned()),
+            Ok(Err(ReadError::Disconnected)) => {
+                (Kind::Malformed, "the request body ended early".to_owned())
+            }
             Err(_elapsed) => (
                 Kind::BodyTimeout,
                 "the request body did not arrive in time".to_owned(),
@@ -357,7 +359,7 @@
 
     /// Relays the parts of the answer until the last.
     ///
-    /// Dropping `sender` before `end_whole` closes the caller's connection in mid-stream.
+    /// Dropping `sender` before `mark_complete` closes the caller's connection in mid-stream.
     async fn relay(mut self, first: AnswerPart, mut sender: AnswerSender) {
         let mut part = Ok(first);
         loop {
@@ -382,7 +384,7 @@
         }
         match part {
             Ok(_) => {
-                sender.end_whole();
+                sender.mark_complete();
                 self.record_end("complete", None);
             }
             Err(failure) => {
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration in force: routes, services and limits.
 
-use crate::callers::{ApiKey, Organisation, Register};
+use crate::callers::{ApiKey, ApiKeyIndex, Organisation};
 use crate::gateway::failure::Failure;
 use crate::gateway::fleet::holds;
 use crate::gateway::{Holding, Weights};
@@ -21,7 +21,7 @@
     /// Limits on callers' requests and connections.
     pub(crate) limits: Limits,
     /// The organisations whose requests are accepted; `None` if requests need no API key.
-    pub(crate) organisations: Option<Rc<Register>>,
+    pub(crate) organisations: Option<Rc<ApiKeyIndex>>,
 }
 
 /// The services and rules for requests with one host and path prefix.
@@ -180,7 +180,7 @@
     }
 
     /// Adds the organisations whose requests are accepted.
-    pub(crate) fn with_organisations(mut self, organisations: Register) -> Self {
+    pub(crate) fn with_organisations(mut self, organisations: ApiKeyIndex) -> Self {
         self.organisations = Some(Rc::new(organisations));
         self
     }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -123,7 +123,7 @@
             let _ = compio::time::timeout(remaining, urgent).await;
             let now = Instant::now();
             self.state.peers.forget_silent(now);
-            self.state.ledger.borrow_mut().forget(now);
+            self.state.ledger.borrow_mut().prune_expired(now);
         }
     }
 
@@ -147,7 +147,7 @@
         let round = self.round.get();
         self.round.set(round.wrapping_add(1));
         let next_in = INTERVAL * targets.local_rounds() as u32;
-        let own_tallies = self.tallies(|ledger| ledger.own_tally(now));
+        let own_tallies = self.tallies(|ledger| ledger.vm_report(now));
         let local_digest = Digest {
             vms: zones_of(&sample, now),
             next_in_ms: next_in.as_millis() as u32,
@@ -194,7 +194,7 @@
 
     /// Sends the digest, the zone's tallies and the holdings to VMs in other zones.
     async fn send_remote(&self, mut digest: Digest, holdings: &[Digest], targets: &[SocketAddr]) {
-        let tallies = self.tallies(|ledger| ledger.zone_tally(Instant::now()));
+        let tallies = self.tallies(|ledger| ledger.zone_report(Instant::now()));
         digest.tally = tallies.first().cloned();
         self.send_to(&digest, targets).await;
         self.send_tallies(tallies.get(1..).unwrap_or_default(), INTERVAL, targets)
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -1,6 +1,6 @@
 //! The gossip messages between VMs.
 
-use crate::callers::{SPANS, Tally, Usage};
+use crate::callers::{SPAN_COUNT, Usage, UsageReport};
 use crate::gateway::directory_updates::DirectoryUpdate;
 use crate::gateway::view::Sighting;
 use crate::inventory::Name;
@@ -242,7 +242,7 @@
 impl TallyPart {
     /// Splits a tally into parts that fit one message each. A tally without grants still gives one
     /// part, so that its VM is counted.
-    pub(super) fn parts(tally: &Tally) -> Vec<Self> {
+    pub(super) fn parts(tally: &UsageReport) -> Vec<Self> {
         let usages: Vec<OrganisationUsage> =
             tally.usages.iter().map(OrganisationUsage::of).collect();
         let part = |usages: &[OrganisationUsage]| Self {
@@ -257,8 +257,8 @@
     }
 
     /// Decodes the part.
-    pub(super) fn tally(&self) -> Tally {
-        Tally {
+    pub(super) fn tally(&self) -> UsageReport {
+        UsageReport {
             vms: self.vms,
             remembering_vms: f64::from(self.remembering_vms),
             usages: self.usages.iter().map(OrganisationUsage::usage).collect(),
@@ -276,7 +276,7 @@
     }
 
     fn usage(&self) -> (u32, Usage) {
-        let mut granted = [0.0; SPANS];
+        let mut granted = [0.0; SPAN_COUNT];
         for (span, amount) in granted.iter_mut().zip(&self.granted) {
             *span = *amount as f64;
         }
--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -84,9 +84,9 @@
         let mut ledger = self.state.ledger.borrow_mut();
         if zone == self.state.settings.availability_zone {
             let next_in = Duration::from_millis(u64::from(digest.next_in_ms));
-            ledger.take_near(sender, message.tally(), next_in, now);
+            ledger.apply_vm_report(sender, message.tally(), next_in, now);
         } else {
-            ledger.take_far(&zone.into(), message.tally(), now);
+            ledger.apply_zone_report(&zone.into(), message.tally(), now);
         }
     }
 
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -1,7 +1,7 @@
 //! Builds the contents of gossip messages: the load of this VM and of its zone, its demand, and
 //! what runners have loaded.
 
-use crate::callers::{Ledger, Tally};
+use crate::callers::{Ledger, UsageReport};
 use crate::gateway::directory_updates::encode_holding;
 use crate::gateway::fleet::{Holding, Incarnation};
 use crate::gateway::gossip::{Gossip, INTERVAL};
@@ -94,7 +94,7 @@
 
     /// Splits a tally of the ledger into parts that fit one message each. Without organisations
     /// there are none.
-    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> Tally) -> Vec<TallyPart> {
+    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> UsageReport) -> Vec<TallyPart> {
         let configuration = self.state.configuration();
         if configuration.is_none_or(|it| it.organisations.is_none()) {
             return Vec::new();
--- a/src/gateway/tests/quota_play.rs
+++ b/src/gateway/tests/quota_play.rs
@@ -68,7 +68,9 @@
             name: "north".into(),
             priority: None,
             quota: Some(Quota {
-                measure: Measure::Tokens { untold: 200.0 },
+                measure: Measure::Tokens {
+                    default_tokens: 200.0,
+                },
                 rate_per_s: self.rate_per_s,
                 burst: self.rate_per_s,
             }),
--- a/src/gateway/tests/quota_ways.rs
+++ b/src/gateway/tests/quota_ways.rs
@@ -1,6 +1,6 @@
 //! Ways to keep a quota at many VMs: the product's, and those that it is compared with.
 
-use crate::callers::{Ledger, Organisation, Tally};
+use crate::callers::{Ledger, Organisation, UsageReport};
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::tests::quota_play::{BOUNDS, Load};
 use crate::inventory::Name;
@@ -84,7 +84,7 @@
 }
 
 impl Way for Tellings {
-    type Message = (Tally, bool);
+    type Message = (UsageReport, bool);
 
     fn new(load: &Load, now: Instant) -> Self {
         let targets = (0..load.vms).map(|vm| {
@@ -109,16 +109,16 @@
 
     fn turn(&mut self, vm: usize, turn: usize, now: Instant) -> Vec<(usize, Self::Message, usize)> {
         let ledger = &mut self.ledgers[vm];
-        let own = ledger.own_tally(now);
-        let of_zone = ledger.zone_tally(now);
-        ledger.forget(now);
+        let own = ledger.vm_report(now);
+        let of_zone = ledger.zone_report(now);
+        ledger.prune_expired(now);
         let targets = &self.targets[vm];
         let near = targets.local_part(turn).into_iter();
         let near = near.map(|to| (to, (own.clone(), true)));
         let far = targets.remote_part(turn).flat_map(|(_, vms)| vms);
         let far = far.map(|to| (to, (of_zone.clone(), false)));
         let messages = near.chain(far);
-        let bytes = |tally: &Tally| 6 + 25 * tally.usages.len();
+        let bytes = |tally: &UsageReport| 6 + 25 * tally.usages.len();
         messages
             .map(|(to, message)| {
                 let length = bytes(&message.0);
@@ -136,9 +136,9 @@
     ) -> Option<Self::Message> {
         if is_near {
             let next_in = Duration::from_millis(200) * self.targets[from].local_rounds() as u32;
-            self.ledgers[vm].take_near(address(from), tally, next_in, now);
+            self.ledgers[vm].apply_vm_report(address(from), tally, next_in, now);
         } else {
-            self.ledgers[vm].take_far(&zone_name(from), tally, now);
+            self.ledgers[vm].apply_zone_report(&zone_name(from), tally, now);
         }
         None
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -3,7 +3,7 @@
 mod eviction;
 mod replicas;
 
-use crate::control::{Artifact, Control, CopyState, MAX_OPEN_LOADS, RunnerBook};
+use crate::control::{Artifact, Control, CopyState, MAX_OPEN_LOADS, MemoryLedger};
 use crate::demand::Slots;
 use crate::inventory::{BackendServer, Model, Name};
 use std::collections::{HashMap, HashSet};
@@ -44,7 +44,7 @@
 
 /// What a plan is made from.
 #[derive(Debug)]
-pub(crate) struct Planning<'a> {
+pub(crate) struct PlacementPlanner<'a> {
     control: &'a Control,
     runners: Vec<&'a BackendServer>,
     /// The demand for each model.
@@ -55,7 +55,7 @@
     hour: u8,
 }
 
-impl<'a> Planning<'a> {
+impl<'a> PlacementPlanner<'a> {
     /// A planning over the runners of `group` that answer and stay.
     pub(crate) fn new(control: &'a Control, group: &str, is_up: impl Fn(&str) -> bool) -> Self {
         let runners = control
@@ -112,8 +112,8 @@
         moves
     }
 
-    fn book(&self, runner: &BackendServer) -> &'a RunnerBook {
-        self.control.book(&runner.name)
+    fn ledger(&self, runner: &BackendServer) -> &'a MemoryLedger {
+        self.control.ledger(&runner.name)
     }
 
     fn artifact(model: &Model) -> Artifact {
@@ -137,27 +137,27 @@
 
     /// Memory that is free and not needed for adapters of models already there.
     fn free_mib(&self, runner: &BackendServer) -> u64 {
-        let book = self.book(runner);
+        let ledger = self.ledger(runner);
         let owed_mib: u64 = self
             .control
             .inventory
             .models
             .iter()
-            .filter(|model| book.is_coming(&Self::artifact(model)))
+            .filter(|model| ledger.is_coming(&Self::artifact(model)))
             .flat_map(Self::adapters)
-            .filter(|(adapter, _)| !book.copies.contains_key(adapter))
+            .filter(|(adapter, _)| !ledger.copies.contains_key(adapter))
             .map(|(_, mib)| mib)
             .sum();
         runner
-            .weights_room_mib()
-            .saturating_sub(book.taken_mib() + owed_mib)
+            .weights_capacity_mib()
+            .saturating_sub(ledger.taken_mib() + owed_mib)
     }
 
     fn holders(&self, model: &Model) -> Vec<&'a BackendServer> {
         let artifact = Self::artifact(model);
         self.runners
             .iter()
-            .filter(|runner| self.book(runner).is_coming(&artifact))
+            .filter(|runner| self.ledger(runner).is_coming(&artifact))
             .copied()
             .collect()
     }
@@ -165,13 +165,13 @@
     fn missing_adapters(&self) -> Vec<Move> {
         let mut loads = Vec::new();
         for runner in &self.runners {
-            let book = self.book(runner);
+            let ledger = self.ledger(runner);
             for model in &self.control.inventory.models {
-                if !book.is_resident(&Self::artifact(model)) {
+                if !ledger.is_resident(&Self::artifact(model)) {
                     continue;
                 }
                 for (artifact, mib) in Self::adapters(model) {
-                    let absent = book
+                    let absent = ledger
                         .copies
                         .get(&artifact)
                         .is_none_or(|copy| copy.state == CopyState::Reserved);
@@ -180,7 +180,7 @@
                             runner: runner.name.clone(),
                             artifact,
                             mib,
-                            room_mib: runner.weights_room_mib(),
+                            room_mib: runner.weights_capacity_mib(),
                             reason: "adapter_missing",
                             others: String::new(),
                         });
@@ -228,7 +228,7 @@
                     runner: runner.name.clone(),
                     artifact: Self::artifact(model),
                     mib: model.weights_mib,
-                    room_mib: runner.weights_room_mib(),
+                    room_mib: runner.weights_capacity_mib(),
                     reason,
                     others,
                 });
@@ -254,7 +254,7 @@
             .iter()
             .filter(|runner| !taken.contains(&runner.name))
             .filter(|runner| {
-                self.book(runner)
+                self.ledger(runner)
                     .copies
                     .get(&artifact)
                     .is_none_or(|copy| copy.state == CopyState::Reserved)
@@ -262,7 +262,7 @@
             .map(|runner| {
                 let new_zone = self.control.inventory.rules.spread_zones
                     && !zones.contains(&runner.availability_zone);
-                let reserved_mib = self.book(runner).reserved_mib(&artifact);
+                let reserved_mib = self.ledger(runner).reserved_mib(&artifact);
                 (new_zone, self.free_mib(runner) + reserved_mib, *runner)
             })
             .filter(|(_, free_mib, _)| *free_mib >= model.resident_mib())
@@ -278,14 +278,14 @@
     fn unloads(&self) -> Vec<Move> {
         let mut unloads = Vec::new();
         for runner in &self.runners {
-            let book = self.book(runner);
-            for (artifact, copy) in &book.copies {
+            let ledger = self.ledger(runner);
+            for (artifact, copy) in &ledger.copies {
                 if copy.state != CopyState::Resident
                     || self.control.is_last_copy(&runner.name, artifact)
                 {
                     continue;
                 }
-                if let Some(reason) = self.reason_to_unload(book, artifact) {
+                if let Some(reason) = self.reason_to_unload(ledger, artifact) {
                     unloads.push(Move::Unload {
                         runner: runner.name.clone(),
                         artifact: artifact.clone(),
@@ -297,7 +297,7 @@
         unloads
     }
 
-    fn reason_to_unload(&self, book: &RunnerBook, artifact: &Artifact) -> Option<&'static str> {
+    fn reason_to_unload(&self, ledger: &MemoryLedger, artifact: &Artifact) -> Option<&'static str> {
         let Some(model) = self.control.inventory.model(&artifact.model) else {
             return Some("model_not_listed");
         };
@@ -312,7 +312,7 @@
             },
         };
         if current == *artifact {
-            return is_orphan(book, artifact).then_some("adapter_without_model");
+            return is_orphan(ledger, artifact).then_some("adapter_without_model");
         }
         let copies = self.control.resident_on(&current).count();
         let complete = self.complete_copies(model);
@@ -325,18 +325,18 @@
         self.runners
             .iter()
             .filter(|runner| {
-                let book = self.book(runner);
-                book.is_resident(&Self::artifact(model))
-                    && Self::adapters(model).all(|(adapter, _)| book.is_resident(&adapter))
+                let ledger = self.ledger(runner);
+                ledger.is_resident(&Self::artifact(model))
+                    && Self::adapters(model).all(|(adapter, _)| ledger.is_resident(&adapter))
             })
             .count()
     }
 }
 
 /// Whether an adapter lies on a runner that does not hold its model in any version.
-fn is_orphan(book: &RunnerBook, artifact: &Artifact) -> bool {
+fn is_orphan(ledger: &MemoryLedger, artifact: &Artifact) -> bool {
     artifact.adapter.is_some()
-        && !book
+        && !ledger
             .copies
             .keys()
             .any(|held| held.model == artifact.model && held.adapter.is_none())
--- a/src/placement/eviction.rs
+++ b/src/placement/eviction.rs
@@ -1,10 +1,10 @@
 //! Making room for a copy that fits nowhere, at the cost of copies that can be spared.
 
-use super::{Move, Planning};
-use crate::control::{Artifact, CopyState, RunnerBook};
+use super::{Move, PlacementPlanner};
+use crate::control::{Artifact, CopyState, MemoryLedger};
 use crate::inventory::{BackendServer, Model};
 
-impl<'a> Planning<'a> {
+impl<'a> PlacementPlanner<'a> {
     /// Unloads that let the first model without room fit on one runner.
     ///
     /// One model at a time: what was freed is looked at again before more goes.
@@ -20,7 +20,7 @@
         };
         self.runners
             .iter()
-            .filter(|runner| !self.book(runner).is_coming(&Self::artifact(model)))
+            .filter(|runner| !self.ledger(runner).is_coming(&Self::artifact(model)))
             .filter_map(|runner| self.spared_for(model, runner))
             .min_by_key(|(freed_mib, _)| *freed_mib)
             .map_or_else(Vec::new, |(_, unloads)| unloads)
@@ -28,8 +28,9 @@
 
     pub(super) fn is_freeing(&self) -> bool {
         self.runners.iter().any(|runner| {
-            let book = self.book(runner);
-            book.copies
+            let ledger = self.ledger(runner);
+            ledger
+                .copies
                 .values()
                 .any(|copy| copy.state == CopyState::Unloading)
         })
@@ -41,8 +42,8 @@
             return Vec::new();
         }
         let mut overfull = self.runners.iter().map(|runner| {
-            let taken_mib = self.book(runner).taken_mib();
-            let over_mib = taken_mib.saturating_sub(runner.weights_room_mib());
+            let taken_mib = self.ledger(runner).taken_mib();
+            let over_mib = taken_mib.saturating_sub(runner.weights_capacity_mib());
             self.spares(runner, over_mib, "memory_made_smaller").1
         });
         overfull
@@ -52,7 +53,7 @@
 
     /// The copies to give up on a runner for one of `model`, and their memory.
     fn spared_for(&self, model: &Model, runner: &BackendServer) -> Option<(u64, Vec<Move>)> {
-        let reserved_mib = self.book(runner).reserved_mib(&Self::artifact(model));
+        let reserved_mib = self.ledger(runner).reserved_mib(&Self::artifact(model));
         let free_mib = self.free_mib(runner) + reserved_mib;
         let missing_mib = model.resident_mib().saturating_sub(free_mib);
         let (freed_mib, unloads) = self.spares(runner, missing_mib, "room_needed");
@@ -66,20 +67,20 @@
         needed_mib: u64,
         reason: &'static str,
     ) -> (u64, Vec<Move>) {
-        let book = self.book(runner);
+        let ledger = self.ledger(runner);
         let mut freed_mib = 0;
         let mut unloads = Vec::new();
-        for base in book.copies.keys() {
+        for base in ledger.copies.keys() {
             if freed_mib >= needed_mib {
                 break;
             }
-            if !self.can_spare(runner, book, base) {
+            if !self.can_spare(runner, ledger, base) {
                 continue;
             }
             let whole = self.unload_whole(runner, base, reason);
             freed_mib += whole
                 .iter()
-                .filter_map(|unload| book.copies.get(unload.artifact()))
+                .filter_map(|unload| ledger.copies.get(unload.artifact()))
                 .map(|copy| copy.mib)
                 .sum::<u64>();
             unloads.extend(whole);
@@ -94,10 +95,11 @@
         base: &Artifact,
         reason: &'static str,
     ) -> Vec<Move> {
-        let book = self.book(runner);
-        book.copies
+        let ledger = self.ledger(runner);
+        ledger
+            .copies
             .keys()
-            .filter(|artifact| *artifact == base || is_adapter_of(artifact, base, book))
+            .filter(|artifact| *artifact == base || is_adapter_of(artifact, base, ledger))
             .map(|artifact| Move::Unload {
                 runner: runner.name.clone(),
                 artifact: artifact.clone(),
@@ -110,13 +112,13 @@
     pub(super) fn can_spare(
         &self,
         runner: &BackendServer,
-        book: &RunnerBook,
+        ledger: &MemoryLedger,
         base: &Artifact,
     ) -> bool {
         let Some(model) = self.control.inventory.model(&base.model) else {
             return false;
         };
-        if base.adapter.is_some() || !book.is_resident(base) {
+        if base.adapter.is_some() || !ledger.is_resident(base) {
             return false;
         }
         let is_current = model.version == base.version;
@@ -126,31 +128,31 @@
             1
         };
         let others = self.runners.iter().filter(|other| {
-            let held = self.book(other);
+            let held = self.ledger(other);
             other.name != runner.name && self.serves_whole(held, model, base)
         });
         others.count() >= needed as usize
     }
 
     /// Whether a runner holds the base, or the one in force, with all its adapters.
-    fn serves_whole(&self, book: &RunnerBook, model: &Model, base: &Artifact) -> bool {
-        let has_base = book.is_resident(base) || book.is_resident(&Self::artifact(model));
+    fn serves_whole(&self, ledger: &MemoryLedger, model: &Model, base: &Artifact) -> bool {
+        let has_base = ledger.is_resident(base) || ledger.is_resident(&Self::artifact(model));
         has_base
             && Self::adapters(model).all(|(adapter, _)| {
-                book.copies.iter().any(|(held, copy)| {
-                    held.serves_same(&adapter) && copy.state == CopyState::Resident
+                ledger.copies.iter().any(|(held, copy)| {
+                    held.has_same_name(&adapter) && copy.state == CopyState::Resident
                 })
             })
     }
 }
 
 /// Whether an adapter goes with its model, since no other version of the model stays.
-fn is_adapter_of(artifact: &Artifact, base: &Artifact, book: &RunnerBook) -> bool {
+fn is_adapter_of(artifact: &Artifact, base: &Artifact, ledger: &MemoryLedger) -> bool {
     artifact.adapter.is_some()
         && artifact.model == base.model
-        && book.is_resident(artifact)
-        && !book
+        && ledger.is_resident(artifact)
+        && !ledger
             .copies
             .keys()
-            .any(|other| other.serves_same(base) && other != base)
+            .any(|other| other.has_same_name(base) && other != base)
 }
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -1,6 +1,6 @@
 //! Copies that follow the demand: which model gains one, where, and in whose place.
 
-use super::{Move, Planning};
+use super::{Move, PlacementPlanner};
 use crate::control::CopyState;
 use crate::demand::Slots;
 use crate::inventory::{BackendServer, Model, MovePolicy, Name, PlacementRule};
@@ -32,7 +32,7 @@
 
 type Holders<'a> = HashMap<&'a Name, Vec<&'a BackendServer>>;
 
-impl<'a> Planning<'a> {
+impl<'a> PlacementPlanner<'a> {
     /// Moves by which copies follow the demand, as the placement rule says.
     pub(crate) fn follow_demand(&self) -> Vec<Move> {
         match self.control.inventory.rules.placement {
@@ -122,8 +122,8 @@
     fn is_loading(&self, model: &Model) -> bool {
         let artifact = Self::artifact(model);
         self.runners.iter().any(|runner| {
-            let book = self.book(runner);
-            let copy = book.copies.get(&artifact);
+            let ledger = self.ledger(runner);
+            let copy = ledger.copies.get(&artifact);
             copy.is_some_and(|copy| copy.state == CopyState::Loading)
         })
     }
@@ -166,8 +166,8 @@
             .iter()
             .filter(|runner| !holds(runner))
             .filter(|runner| {
-                let book = self.book(runner);
-                let copy = book.copies.get(&artifact);
+                let ledger = self.ledger(runner);
+                let copy = ledger.copies.get(&artifact);
                 copy.is_none_or(|copy| copy.state == CopyState::Reserved)
             })
             .copied()
@@ -182,7 +182,7 @@
         reason = "no room and no need of a victim differ"
     )]
     fn victim(&self, runner: &BackendServer, model: &Model) -> Option<Option<&'a Model>> {
-        let book = self.book(runner);
+        let ledger = self.ledger(runner);
         let free_mib = self.free_mib(runner);
         if free_mib >= model.resident_mib() {
             return Some(None);
@@ -191,7 +191,7 @@
             .inventory
             .models
             .iter()
-            .filter(|other| self.can_spare(runner, book, &Self::artifact(other)))
+            .filter(|other| self.can_spare(runner, ledger, &Self::artifact(other)))
             .filter(|other| free_mib + other.resident_mib() >= model.resident_mib())
             .min_by(|left, right| {
                 let key = |model: &Model| self.weighted(&model.name);
@@ -240,8 +240,8 @@
     /// Whether any copy is on its way in or out.
     fn is_moving(&self) -> bool {
         self.runners.iter().any(|runner| {
-            let book = self.book(runner);
-            let mut copies = book.copies.values();
+            let ledger = self.ledger(runner);
+            let mut copies = ledger.copies.values();
             copies.any(|copy| matches!(copy.state, CopyState::Loading | CopyState::Unloading))
         })
     }
@@ -277,7 +277,7 @@
                 runner: gain.runner.name.clone(),
                 artifact: Self::artifact(gain.model),
                 mib: gain.model.weights_mib,
-                room_mib: gain.runner.weights_room_mib(),
+                room_mib: gain.runner.weights_capacity_mib(),
                 reason,
                 others: format!("gain_slots:{:.1}", gain.slots),
             }];
--- a/src/plain_service.rs
+++ b/src/plain_service.rs
@@ -207,7 +207,7 @@
         let hash = key_hash(service, call, key);
         let digest = call_digest(call, key);
         for _ in 0..MAX_CLAIMS {
-            let verdict = match self.keys.with(|keys| keys.look(hash, digest)) {
+            let verdict = match self.keys.with(|keys| keys.lookup(hash, digest)) {
                 Some(verdict) => verdict,
                 None => match self.claim(hash, digest, key.made_at_ms).await? {
                     (KeyVerdict::First, claim) => {
@@ -358,7 +358,7 @@
                 Kind::KeyExpired,
                 "the idempotency key's creation time is too old or in the future",
             ))),
-            KeyVerdict::Open | KeyVerdict::First | KeyVerdict::Noted => {
+            KeyVerdict::Pending | KeyVerdict::First | KeyVerdict::Processed => {
                 self.wait_for_outcome(key, digest).await
             }
         }
@@ -385,7 +385,7 @@
         let start = Instant::now();
         while start.elapsed() < OUTCOME_WAIT {
             let changed = self.keys.changed();
-            if let KeyVerdict::Replied(fence) = self.keys.with(|keys| keys.look(key, digest))? {
+            if let KeyVerdict::Replied(fence) = self.keys.with(|keys| keys.lookup(key, digest))? {
                 return Some(self.stored_reply(fence).await);
             }
             let left = OUTCOME_WAIT.saturating_sub(start.elapsed());
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -5,7 +5,7 @@
 //! holds; so two planners never act on memory that is set aside only once.
 
 use crate::control::{
-    Artifact, Claim, Command, Copy, CopyState, Held, Outcome, RunnerBook, Under, Verdict,
+    Artifact, Claim, ClaimRef, Command, Copy, CopyState, HeldCopy, MemoryLedger, Outcome, Verdict,
 };
 use crate::demand::Demand;
 use crate::engine::{EngineClient, Order, OrderAnswer, Report, ReportedArtifact, ReportedState};
@@ -14,7 +14,7 @@
 use crate::inventory::{BackendServer, Inventory, Name};
 use crate::membership::Membership;
 use crate::metrics::{Metrics, OrderLabels};
-use crate::placement::{Move, Planning};
+use crate::placement::{Move, PlacementPlanner};
 use crate::server::ControlStream;
 use crate::service_registry::Service;
 use crate::shutdown::Shutdown;
@@ -34,7 +34,7 @@
 
 /// An order that is not settled.
 struct OpenOrder<'a> {
-    under: &'a Under,
+    under: &'a ClaimRef,
     server: &'a BackendServer,
     artifact: &'a Artifact,
     copy: &'a Copy,
@@ -75,16 +75,20 @@
 
 impl Planner {
     /// A planner over the services it reads; `writer` names this run in the log.
-    pub(crate) fn new(kernel: &crate::service_registry::Kernel, vm: Name, writer: Name) -> Self {
-        let metrics: Rc<Metrics> = kernel.find();
+    pub(crate) fn new(
+        registry: &crate::service_registry::ServiceRegistry,
+        vm: Name,
+        writer: Name,
+    ) -> Self {
+        let metrics: Rc<Metrics> = registry.find();
         Self {
-            control: kernel.find(),
-            demand: kernel.find(),
-            fleet: kernel.find(),
-            membership: kernel.find(),
-            engines: EngineClient::new(metrics.leg("reports")),
+            control: registry.find(),
+            demand: registry.find(),
+            fleet: registry.find(),
+            membership: registry.find(),
+            engines: EngineClient::new(metrics.control_traffic_counter("reports")),
             metrics,
-            shutdown: kernel.find(),
+            shutdown: registry.find(),
             vm,
             writer,
             attempts: RefCell::default(),
@@ -133,7 +137,7 @@
         match held {
             Some(claim) if claim.vm == self.vm => true,
             Some(claim) if self.membership.is_alive(&claim.vm) => false,
-            _ => self.membership.is_first_for(group),
+            _ => self.membership.is_assigned(group),
         }
     }
 
@@ -157,7 +161,7 @@
     }
 
     async fn plan(&self, group: &Name, claim: u64) {
-        let under = Under {
+        let under = ClaimRef {
             group: group.clone(),
             claim,
         };
@@ -172,9 +176,9 @@
         join_all(runners.iter().map(|runner| self.drive(&under, runner))).await;
         let moves = self.control.with(|control| {
             let demand = self.demand.total(&control.inventory, control.revision);
-            Planning::new(control, group, |name| {
-                let known = |book: &RunnerBook| book.boot != 0 && !book.down;
-                control.books.get(name).is_some_and(known)
+            PlacementPlanner::new(control, group, |name| {
+                let known = |ledger: &MemoryLedger| ledger.boot != 0 && !ledger.down;
+                control.ledgers.get(name).is_some_and(known)
                     && self.fleet.runner(name).is_some_and(|runner| runner.is_up())
                     && !self.membership.is_server_leaving(name)
             })
@@ -190,7 +194,7 @@
     }
 
     /// Writes a decision as an intent; its order is given once it is read back.
-    async fn record(&self, under: &Under, decided: Move) {
+    async fn record(&self, under: &ClaimRef, decided: Move) {
         let under = under.clone();
         match decided {
             Move::Load {
@@ -244,21 +248,21 @@
     }
 
     /// Brings one runner's open orders forward and its book up to date.
-    async fn drive(&self, under: &Under, server: &BackendServer) {
+    async fn drive(&self, under: &ClaimRef, server: &BackendServer) {
         let Some(report) = self.engines.report(server.address).await else {
             return self.note_silent(under, server).await;
         };
         self.silent_since.borrow_mut().remove(&server.name);
-        let book = self
+        let ledger = self
             .control
-            .with(|control| control.book(&server.name).clone());
-        let is_behind = book.boot != report.boot || book.down;
-        if is_behind || (server.checks_fencing && book.has_reserved()) {
-            return self.reset(under, server, &book, report).await;
+            .with(|control| control.ledger(&server.name).clone());
+        let is_behind = ledger.boot != report.boot || ledger.down;
+        if is_behind || (server.checks_fencing && ledger.has_reserved()) {
+            return self.reset(under, server, &ledger, report).await;
         }
-        self.note_lost(under, server, &book, &report).await;
+        self.note_lost(under, server, &ledger, &report).await;
         self.adopt(under, server, &report).await;
-        let mut copies: Vec<_> = book.copies.iter().collect();
+        let mut copies: Vec<_> = ledger.copies.iter().collect();
         // A fencing engine refuses an order that comes after a later one.
         copies.sort_by_key(|(_, copy)| copy.intent);
         for (artifact, copy) in copies {
@@ -277,16 +281,16 @@
     }
 
     /// Gives up a runner that has been silent for too long, so that its loads hold no slot.
-    async fn note_silent(&self, under: &Under, server: &BackendServer) {
+    async fn note_silent(&self, under: &ClaimRef, server: &BackendServer) {
         let since = *self
             .silent_since
             .borrow_mut()
             .entry(server.name.clone())
             .or_insert_with(Instant::now);
-        let book = self
+        let ledger = self
             .control
-            .with(|control| control.book(&server.name).clone());
-        if since.elapsed() < DOWN_AFTER || book.down || book.boot == 0 {
+            .with(|control| control.ledger(&server.name).clone());
+        if since.elapsed() < DOWN_AFTER || ledger.down || ledger.boot == 0 {
             return;
         }
         let command = Command::MarkDown {
@@ -301,9 +305,9 @@
     /// Begins a book anew with what the engine holds; old orders are outdated first.
     async fn reset(
         &self,
-        under: &Under,
+        under: &ClaimRef,
         server: &BackendServer,
-        book: &RunnerBook,
+        ledger: &MemoryLedger,
         report: Report,
     ) {
         let boot = report.boot;
@@ -326,13 +330,13 @@
         if self.propose(command).await.is_some() {
             emit(
                 Event::RunnerReset,
-                format_args!("runner={} boot={boot} before={}", server.name, book.boot),
+                format_args!("runner={} boot={boot} before={}", server.name, ledger.boot),
             );
         }
     }
 
     /// Outdates every order to a fencing engine so far; its report from after that.
-    async fn fence(&self, under: &Under, server: &BackendServer) -> Option<Report> {
+    async fn fence(&self, under: &ClaimRef, server: &BackendServer) -> Option<Report> {
         let last = self.fenced_at.borrow().get(&server.name).copied();
         if last.is_some_and(|at| at.elapsed() < RESEND_AFTER) {
             return None;
@@ -357,7 +361,7 @@
         report
     }
 
-    fn held(&self, report: &Report) -> Vec<Held> {
+    fn held(&self, report: &Report) -> Vec<HeldCopy> {
         self.control.with(|control| {
             let held = report.artifacts.iter();
             held.map(|held| self.as_held(held, &control.inventory))
@@ -365,13 +369,13 @@
         })
     }
 
-    fn as_held(&self, reported: &ReportedArtifact, inventory: &Inventory) -> Held {
+    fn as_held(&self, reported: &ReportedArtifact, inventory: &Inventory) -> HeldCopy {
         let state = match reported.state {
             ReportedState::Loading => CopyState::Loading,
             ReportedState::Ready => CopyState::Resident,
             ReportedState::Unloading => CopyState::Unloading,
         };
-        Held {
+        HeldCopy {
             artifact: Artifact::parse(&reported.name, inventory),
             mib: reported.mib,
             state,
@@ -381,12 +385,12 @@
     /// Notes what the engine does not hold any more, such as after a late order to unload.
     async fn note_lost(
         &self,
-        under: &Under,
+        under: &ClaimRef,
         server: &BackendServer,
-        book: &RunnerBook,
+        ledger: &MemoryLedger,
         report: &Report,
     ) {
-        for (artifact, copy) in &book.copies {
+        for (artifact, copy) in &ledger.copies {
             if copy.state != CopyState::Resident || report.find(&artifact.to_string()).is_some() {
                 continue;
             }
@@ -406,12 +410,12 @@
     }
 
     /// Enters into the book what the engine holds though nothing of ours is open for it.
-    async fn adopt(&self, under: &Under, server: &BackendServer, report: &Report) {
-        let book = self
+    async fn adopt(&self, under: &ClaimRef, server: &BackendServer, report: &Report) {
+        let ledger = self
             .control
-            .with(|control| control.book(&server.name).clone());
+            .with(|control| control.ledger(&server.name).clone());
         for (held, reported) in self.held(report).into_iter().zip(&report.artifacts) {
-            let known = book.copies.iter().any(|(artifact, copy)| {
+            let known = ledger.copies.iter().any(|(artifact, copy)| {
                 copy.state != CopyState::Reserved && artifact.to_string() == reported.name
             });
             if known {
@@ -496,7 +500,7 @@
         }
     }
 
-    fn still_holds(&self, under: &Under) -> bool {
+    fn still_holds(&self, under: &ClaimRef) -> bool {
         self.control.with(|control| {
             control
                 .claims
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration as the platform keeps it.
 
-use crate::callers::{ApiKey, Measure, Organisation, Quota, Register};
+use crate::callers::{ApiKey, ApiKeyIndex, Measure, Organisation, Quota};
 use crate::gateway::{Configuration, Engine, Limits, Model, Route, RouteKind, Service, Target};
 use crate::inventory::Name;
 use serde::de::Error;
@@ -153,7 +153,7 @@
     let Some(organisations) = wire.tenants else {
         return Ok(configuration);
     };
-    let register = Register::new(organisations.into_iter().map(organisation).collect());
+    let register = ApiKeyIndex::new(organisations.into_iter().map(organisation).collect());
     for shared in register.shared_keys() {
         error!(
             version = wire.version,
@@ -167,7 +167,7 @@
 fn organisation(wire: WireOrganisation) -> (Organisation, Vec<ApiKey>) {
     let measure = match wire.unit.as_str() {
         TOKENS => Measure::Tokens {
-            untold: wire.plain_tokens,
+            default_tokens: wire.plain_tokens,
         },
         _ => Measure::Requests,
     };
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -7,7 +7,7 @@
 //! refused from then on, and the others are cleared within a few tokens.
 
 use crate::client::is_refused;
-use crate::control::{Command, Standing, SuspectCommand, Verdict};
+use crate::control::{Command, SuspectCommand, SuspectStatus, Verdict};
 use crate::engine::EngineClient;
 use crate::events::{Event, emit};
 use crate::fleet::Runner;
@@ -77,10 +77,10 @@
     }
 
     /// What is known of a request.
-    pub(crate) fn standing(&self, fingerprint: u64) -> Standing {
+    pub(crate) fn standing(&self, fingerprint: u64) -> SuspectStatus {
         let unrecorded = self.unrecorded.borrow().get(&fingerprint).copied();
         if unrecorded.is_some_and(|crashes| crashes >= MAX_UNRECORDED) {
-            return Standing::Poison;
+            return SuspectStatus::Poison;
         }
         self.control
             .with(|control| control.suspects.standing(fingerprint))
--- a/src/replay.rs
+++ b/src/replay.rs
@@ -25,7 +25,7 @@
 
 /// What became of one command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Judged {
+pub struct CommandVerdict {
     /// The command's fencing number.
     pub fence: u64,
     /// Whether it is in force from its place on.
@@ -43,7 +43,7 @@
         offset: u64,
         at_ms: u64,
         data: &str,
-    ) -> Result<Vec<Judged>, Report<Fault>> {
+    ) -> Result<Vec<CommandVerdict>, Report<Fault>> {
         let folded = self
             .replica
             .fold_record(offset, at_ms, data)
@@ -52,7 +52,7 @@
         let Folded::Commands { verdicts, .. } = folded else {
             return Ok(Vec::new());
         };
-        let judge = |(position, verdict): (crate::replica::Position, Verdict)| Judged {
+        let judge = |(position, verdict): (crate::replica::Position, Verdict)| CommandVerdict {
             fence: position.fence,
             accepted: verdict == Verdict::Accepted,
         };
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -28,7 +28,7 @@
     /// What became of it.
     type Verdict: Clone + 'static;
     /// Whether records that the log has dropped count on without a snapshot.
-    const OUTLIVES_RETENTION: bool = true;
+    const REQUIRES_SNAPSHOT: bool = true;
 
     /// Applies one command; depends on nothing but state and arguments.
     fn apply(&mut self, position: Position, writer: &Name, command: Self::Command)
--- a/src/router.rs
+++ b/src/router.rs
@@ -2,7 +2,7 @@
 
 use crate::batch_queue::{BatchQueue, Ticket};
 use crate::completion::CompletionRequest;
-use crate::control::{Artifact, Control, RunnerBook};
+use crate::control::{Artifact, Control, MemoryLedger};
 use crate::demand::Demand;
 use crate::fleet::{Fleet, Runner};
 use crate::inventory::{Name, RoutingRule, Rules};
@@ -45,10 +45,10 @@
     }
 
     /// Whether a runner holds all that the target needs, or was ordered to load it.
-    pub(crate) fn is_coming_in(&self, book: &RunnerBook) -> bool {
+    pub(crate) fn is_resident_or_loading_in(&self, ledger: &MemoryLedger) -> bool {
         std::iter::once(&self.base)
             .chain(&self.adapter)
-            .all(|artifact| book.is_coming(artifact))
+            .all(|artifact| ledger.is_coming(artifact))
     }
 
     /// The artifacts by the names that engines use.
@@ -60,21 +60,21 @@
     /// The same target in other versions that some runner may still hold.
     fn older(&self, control: &Control) -> Vec<Self> {
         let mut found = Vec::new();
-        for book in control.books.values() {
-            let bases = book
+        for ledger in control.ledgers.values() {
+            let bases = ledger
                 .copies
                 .keys()
-                .filter(|held| held.serves_same(&self.base));
+                .filter(|held| held.has_same_name(&self.base));
             for base in bases {
                 let target = match &self.adapter {
                     None => Some(Self {
                         base: base.clone(),
                         adapter: None,
                     }),
-                    Some(adapter) => book
+                    Some(adapter) => ledger
                         .copies
                         .keys()
-                        .find(|held| held.serves_same(adapter))
+                        .find(|held| held.has_same_name(adapter))
                         .map(|held| Self {
                             base: base.clone(),
                             adapter: Some(held.clone()),
@@ -191,9 +191,9 @@
         let answers = |name: &str| self.fleet.runner(name).is_some_and(|it| it.is_answering());
         self.control.with(|control| {
             let in_book = control
-                .books
+                .ledgers
                 .iter()
-                .any(|(name, book)| wanted.is_coming_in(book) && answers(name));
+                .any(|(name, ledger)| wanted.is_resident_or_loading_in(ledger) && answers(name));
             let in_force = control
                 .inventory
                 .model(&wanted.base.model)
@@ -216,7 +216,7 @@
     }
 
     /// Whether any runner serves the model, though it may be full for batch requests.
-    pub(crate) fn is_served(&self, wanted: &Target) -> bool {
+    pub(crate) fn has_ready_runner(&self, wanted: &Target) -> bool {
         !self.scored(wanted, false).is_empty()
     }
 
--- a/src/snapshot_writer.rs
+++ b/src/snapshot_writer.rs
@@ -3,7 +3,7 @@
 use crate::events::{Event, emit};
 use crate::membership::Membership;
 use crate::server::ControlStream;
-use crate::service_registry::Kernel;
+use crate::service_registry::ServiceRegistry;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -13,19 +13,19 @@
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The snapshot keeper of one VM; the first of the live VMs writes.
-pub(crate) struct Keeper {
+pub(crate) struct SnapshotWriter {
     control: Rc<ControlStream>,
     membership: Rc<Membership>,
     interval: Duration,
     started_at: Instant,
 }
 
-impl Keeper {
+impl SnapshotWriter {
     /// A keeper for a log that keeps records for `retention_ms`.
-    pub(crate) fn new(kernel: &Kernel, retention_ms: u64) -> Self {
+    pub(crate) fn new(registry: &ServiceRegistry, retention_ms: u64) -> Self {
         Self {
-            control: kernel.find(),
-            membership: kernel.find(),
+            control: registry.find(),
+            membership: registry.find(),
             interval: Duration::from_millis(retention_ms / SNAPSHOTS_PER_RETENTION),
             started_at: Instant::now(),
         }
@@ -59,7 +59,7 @@
             .control
             .snapshot_age()
             .unwrap_or_else(|| self.started_at.elapsed());
-        let first = self.membership.is_first_for("snapshot");
+        let first = self.membership.is_assigned("snapshot");
         age >= if first {
             self.interval
         } else {
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -14,7 +14,7 @@
 //! A reader that the log does not help, since it is down or has dropped records
 //! that no snapshot covers, takes a snapshot from a peer. It never skips records.
 
-use crate::append_pace::Pace;
+use crate::append_pace::AppendPacer;
 use crate::external::{LogError, LogRecord, LogService, Page};
 use crate::inventory::Name;
 use crate::replica::{Envelope, Fold, Folded, MAX_BATCH, Position, Replica};
@@ -109,7 +109,7 @@
     replica: RefCell<Replica<F>>,
     queue: RefCell<VecDeque<Queued<F>>>,
     queued: Signal,
-    pace: Pace,
+    pace: AppendPacer,
     open: RefCell<Option<OpenEnvelope<F>>>,
     open_since: Cell<Option<Instant>>,
     sequence: Cell<u64>,
@@ -139,7 +139,7 @@
             replica: RefCell::default(),
             queue: RefCell::default(),
             queued: Signal::default(),
-            pace: Pace::default(),
+            pace: AppendPacer::default(),
             open: RefCell::new(None),
             open_since: Cell::new(None),
             sequence: Cell::new(0),
@@ -172,7 +172,7 @@
     }
 
     /// Whether the state may be used: folded to the log's end once, or given by a peer.
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn has_usable_state(&self) -> bool {
         self.ready.get() || self.given.get()
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Reads anew at once, over a new connection.
-    pub(crate) fn nudge(&self) {
+    pub(crate) fn reconnect(&self) {
         self.nudged.notify();
     }
 
@@ -205,7 +205,7 @@
         self.behind_since.set(Some(since));
         if since.elapsed() >= BEHIND_LIMIT {
             self.behind_since.set(None);
-            self.nudge();
+            self.reconnect();
         }
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// The pace of this VM's appends.
-    pub(crate) fn pace(&self) -> &Pace {
+    pub(crate) fn pace(&self) -> &AppendPacer {
         &self.pace
     }
 
@@ -385,7 +385,7 @@
                 }
                 continue;
             }
-            self.pace.turn().await;
+            self.pace.wait_until_due().await;
             if let Some(record) = self.open_envelope() {
                 self.append_until_read_back(record).await;
             }
@@ -432,11 +432,11 @@
         loop {
             match self.append(record.clone()).await {
                 None => {
-                    self.pace.note_taken();
+                    self.pace.record_accepted();
                     break;
                 }
                 Some(Ok(offset)) => {
-                    self.pace.note_taken();
+                    self.pace.record_accepted();
                     self.wait_read_past(offset).await;
                     break;
                 }
@@ -445,7 +445,7 @@
                     break;
                 }
                 Some(Err(LogError::Busy)) if !may_be_written => {
-                    self.pace.note_refused();
+                    self.pace.record_refused();
                     return self.requeue_open();
                 }
                 Some(Err(LogError::Busy | LogError::Refused)) => {}
@@ -496,7 +496,7 @@
             if compio::time::timeout(BEHIND_LIMIT, wait).await.is_ok() {
                 return;
             }
-            self.nudge();
+            self.reconnect();
         }
         if let Some(open) = self.open.take() {
             open.fail(ProposeError::VerdictLost);
@@ -561,7 +561,7 @@
     /// Folds a page; false if it leaves the reader behind records that are dropped.
     async fn take_page(&self, page: Page) -> bool {
         if page.first > self.next_offset() {
-            if F::OUTLIVES_RETENTION {
+            if F::REQUIRES_SNAPSHOT {
                 // What this VM knows may be outdated by any of the dropped records.
                 self.ready.set(false);
                 self.given.set(false);
--- a/tests/fold.rs
+++ b/tests/fold.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use rattanjunction::{Judged, Replay};
+use rattanjunction::{CommandVerdict, Replay};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
@@ -124,7 +124,7 @@
         world
     }
 
-    fn append(&mut self, record: String) -> Vec<Judged> {
+    fn append(&mut self, record: String) -> Vec<CommandVerdict> {
         let offset = self.log.len() as u64;
         self.log.push(record.clone());
         self.replay
@@ -132,7 +132,7 @@
             .expect("the record is readable")
     }
 
-    fn write(&mut self, writer: usize, command: &Value) -> Judged {
+    fn write(&mut self, writer: usize, command: &Value) -> CommandVerdict {
         self.sequences[writer] += 1;
         let envelope = json!({"Commands": {"writer": WRITERS[writer],
             "sequence": self.sequences[writer], "commands": [command]}});
