--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,6 +1,6 @@
 //! Decides which requests are admitted, and which batch requests yield their slots.
 
-use crate::completion::Ask;
+use crate::completion::CompletionRequest;
 use crate::error::{Failure, Kind};
 use crate::fleet::{InFlightCounts, Runner};
 use crate::inventory::{AdmissionRule, Name, Priority};
@@ -18,7 +18,7 @@
     /// # Errors
     ///
     /// Fails with [`Kind::Deadline`] and the number of seconds after which to retry.
-    pub(crate) fn admit(&self, request: &Ask) -> Result<(), Failure> {
+    pub(crate) fn admit(&self, request: &CompletionRequest) -> Result<(), Failure> {
         let rule = self
             .control
             .with(|control| control.inventory.rules.admission);
@@ -48,7 +48,7 @@
 
     /// Returns how long a request is expected to wait for a slot; `None` while no runner can serve
     /// it, unless it is a batch request.
-    fn expected_wait(&self, request: &Ask) -> Option<Duration> {
+    fn expected_wait(&self, request: &CompletionRequest) -> Option<Duration> {
         if request.priority == Priority::Batch {
             return Some(self.batch_queue.expected_wait(&request.target.base.model));
         }
