--- a/workbench/src/http_json.rs
+++ b/workbench/src/http_json.rs
@@ -1,4 +1,4 @@
-//! Small helpers for HTTP/JSON, on both sides.
+//! Helpers for servers and clients of JSON over HTTP.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a call of the workbench may take.
+/// The time limit of [`get`] and [`post`], including the answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves HTTP at an address until the process ends.
 ///
 /// # Panics
 ///
-/// Panics when the address is taken.
+/// Panics when the address cannot be bound.
 pub async fn serve<H, F>(address: SocketAddr, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -31,27 +31,28 @@
     serve_http(listener, Rc::new(Shutdown::default()), handler).await;
 }
 
-/// Reads a request's body whole.
-pub async fn body_of(request: Request<Incoming>) -> Option<Bytes> {
+/// Reads the whole body of a request; `None` if it ends early.
+pub async fn collect_body(request: Request<Incoming>) -> Option<Bytes> {
     Some(request.into_body().collect().await.ok()?.to_bytes())
 }
 
-/// Reads a request's body as JSON.
-pub async fn json_of<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
-    serde_json::from_slice(&body_of(request).await?).ok()
+/// Reads the body of a request as JSON; `None` if it is incomplete or does not fit `T`.
+pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
+    serde_json::from_slice(&collect_body(request).await?).ok()
 }
 
-/// A JSON answer with status 200.
+/// An answer with status 200 and a JSON body.
 pub fn ok(value: &impl Serialize) -> Response<Body> {
     json_response(StatusCode::OK, value)
 }
 
-/// An answer with a status and nothing else to say.
+/// An answer with the given status and an empty JSON object.
 pub fn status(status: StatusCode) -> Response<Body> {
     json_response(status, &serde_json::json!({}))
 }
 
-/// The value of a query parameter.
+/// The value of a query parameter; `None` if it is missing or cannot be parsed. Percent encoding
+/// is not decoded.
 pub fn query<T: std::str::FromStr>(request: &Request<Incoming>, name: &str) -> Option<T> {
     request.uri().query()?.split('&').find_map(|pair| {
         let (key, value) = pair.split_once('=')?;
@@ -59,7 +60,7 @@
     })
 }
 
-/// Gets JSON from another process; `None` when it does not answer.
+/// Gets JSON from another process; `None` when no valid answer arrives in time.
 pub async fn get(address: SocketAddr, path: &str) -> Option<Value> {
     let call = async {
         let client = cyper::Client::new().ok()?;
@@ -74,7 +75,8 @@
     compio::time::timeout(CALL_TIMEOUT, call).await.ok()?
 }
 
-/// Posts JSON to another process; its status and answer, or `None` when none came.
+/// Posts JSON to another process; returns the status and the JSON answer, or `None` when no valid
+/// answer arrives in time.
 pub async fn post(
     address: SocketAddr,
     path: &str,
--- a/workbench/src/service.rs
+++ b/workbench/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service, such as receipts or bookings.
+//! A stand-in for a plain service, such as receipts or bookings.
 
 use crate::http_json;
 use crate::journal::Journal;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The service's stand-in: each call it runs gets the next number.
+/// A stand-in for a plain service that numbers the calls it runs.
 #[derive(Debug)]
 pub struct PlainStandIn {
     name: String,
@@ -22,7 +22,7 @@
 }
 
 impl PlainStandIn {
-    /// A service that takes `delay` for a call.
+    /// Creates a service that takes `delay` to run a call and records each in the journal.
     pub fn new(name: &str, delay: Duration, journal: Option<&Path>) -> Self {
         Self {
             name: name.to_owned(),
@@ -46,8 +46,9 @@
         }
         let path = request.uri().path().to_owned();
         let id = header(&request, "x-request-id");
-        let body: Value = http_json::json_of(request).await.unwrap_or(Value::Null);
-        // Noted at the start: from here on the call has run.
+        let body: Value = http_json::read_json(request).await.unwrap_or(Value::Null);
+        // Recorded before the delay: a call counts as run as soon as it starts, even if its answer
+        // is lost.
         self.journal
             .note("run", json!({"path": path, "request": id, "body": body}));
         self.runs.set(self.runs.get() + 1);
@@ -57,7 +58,7 @@
     }
 }
 
-/// The value of a request's header.
+/// The value of a request header, or an empty string.
 pub fn header(request: &Request<Incoming>, name: &str) -> String {
     request
         .headers()
--- a/workbench/src/site/store.rs
+++ b/workbench/src/site/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: a log with keyed topics and groups.
+//! A stand-in for the platform's store: a log with keyed topics and consumer groups.
 
 use crate::http_json;
 use bytes::{Buf, Bytes};
@@ -13,43 +13,46 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Partitions of a topic.
-const PARTS: u64 = 12;
-/// How often a waiting read looks again.
+/// The number of partitions of a topic.
+const PARTITIONS: u64 = 12;
+/// How often a waiting read checks for new records.
 const READ_POLL: Duration = Duration::from_millis(2);
-/// How long a call without an answer is held.
-const NO_ANSWER: Duration = Duration::from_secs(3_600);
+/// How long a call is held when no answer is to be sent; longer than any test runs.
+const UNANSWERED_HOLD: Duration = Duration::from_secs(3_600);
 
-/// What is wrong with the store.
+/// The faults that the store simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StoreFaults {
-    /// Every call is refused.
+    /// Every call is refused with status 503.
     pub is_down: bool,
-    /// No call is answered, and none has an effect.
+    /// No call is answered or has an effect.
     pub is_silent: bool,
-    /// Writes take effect and are not answered.
+    /// Writes take effect but are not answered.
     pub loses_answers: bool,
-    /// Nobody joins a group.
+    /// Calls to join a group are refused with status 503.
     pub refuses_joins: bool,
-    /// The owners of partitions are not told.
+    /// Queries for the owners of partitions are refused with status 503.
     pub hides_owners: bool,
 }
 
 #[derive(Debug, Default)]
 struct Topic {
-    first: u64,
+    /// The offset of the first record that compaction has left readable.
+    first_offset: u64,
     records: Vec<Bytes>,
 }
 
 #[derive(Debug, Default)]
-struct Members {
+struct Group {
+    /// Incremented whenever a member joins, leaves or expires.
     generation: u64,
-    alive: BTreeMap<String, Instant>,
+    /// The members, each with the time at which its membership expires.
+    members: BTreeMap<String, Instant>,
     topic: String,
 }
 
 #[derive(Deserialize)]
-struct Join {
+struct JoinRequest {
     group: String,
     member: String,
     topics: Vec<String>,
@@ -57,22 +60,22 @@
 }
 
 #[derive(Deserialize)]
-struct Leave {
+struct LeaveRequest {
     group: String,
     member: String,
 }
 
-/// The store's stand-in, served in tasks of the test's own runtime.
+/// A stand-in for the store, served by tasks on the test's own runtime.
 #[derive(Debug, Default)]
 pub struct StoreStandIn {
     topics: RefCell<HashMap<String, Topic>>,
-    groups: RefCell<HashMap<String, Members>>,
+    groups: RefCell<HashMap<String, Group>>,
     faults: Cell<StoreFaults>,
     calls: RefCell<HashMap<String, u64>>,
 }
 
 impl StoreStandIn {
-    /// Starts a store with nothing in it.
+    /// Starts an empty store.
     pub(super) async fn start(address: SocketAddr) -> Rc<Self> {
         let store = Rc::new(Self::default());
         let listener = listen(address).await.expect("the address is free");
@@ -84,29 +87,30 @@
         store
     }
 
-    /// Sets what is wrong from now on.
+    /// Sets the faults simulated from now on.
     pub fn set(&self, faults: StoreFaults) {
         self.faults.set(faults);
     }
 
-    /// Writes a record of a keyed topic, as the operator and the servers do.
+    /// Writes a record to a keyed topic, as the operator and the servers do.
     pub fn put(&self, topic: &str, key: &str, value: &Value) {
-        self.append(topic, keyed(key, value.to_string().as_bytes()));
+        self.append(topic, keyed_record(key, value.to_string().as_bytes()));
     }
 
-    /// Drops a key.
+    /// Deletes a key from a keyed topic.
     pub fn drop_key(&self, topic: &str, key: &str) {
-        self.append(topic, keyed(key, &[]));
+        self.append(topic, keyed_record(key, &[]));
     }
 
-    /// Forgets the history of a keyed topic; the newest record of each key stays.
+    /// Drops the history of a keyed topic: reads from older offsets fail with status 410, while the
+    /// newest record of each key stays available.
     pub fn compact(&self, topic: &str) {
         if let Some(topic) = self.topics.borrow_mut().get_mut(topic) {
-            topic.first = topic.records.len() as u64;
+            topic.first_offset = topic.records.len() as u64;
         }
     }
 
-    /// How often a call was made.
+    /// The number of calls to a path so far.
     pub fn calls(&self, path: &str) -> u64 {
         self.calls.borrow().get(path).copied().unwrap_or(0)
     }
@@ -128,7 +132,7 @@
         let path = request.uri().path().to_owned();
         *self.calls.borrow_mut().entry(path.clone()).or_default() += 1;
         if self.faults.get().is_silent {
-            compio::time::sleep(NO_ANSWER).await;
+            compio::time::sleep(UNANSWERED_HOLD).await;
         }
         if self.faults.get().is_down {
             return http_json::status(StatusCode::SERVICE_UNAVAILABLE);
@@ -137,7 +141,7 @@
         let answer = match path.as_str() {
             "/-/log-newest" => self.newest(&request),
             "/-/log-read" => self.read(&request).await,
-            "/-/log-append" => self.take_append(request).await,
+            "/-/log-append" => self.handle_append(request).await,
             "/-/log-join" if self.faults.get().refuses_joins => {
                 http_json::status(StatusCode::SERVICE_UNAVAILABLE)
             }
@@ -150,7 +154,7 @@
             _ => http_json::status(StatusCode::NOT_FOUND),
         };
         if is_write && self.faults.get().loses_answers {
-            compio::time::sleep(NO_ANSWER).await;
+            compio::time::sleep(UNANSWERED_HOLD).await;
         }
         answer
     }
@@ -161,7 +165,7 @@
         let records = topics.get(&topic).map_or(&[][..], |topic| &topic.records);
         let mut newest: BTreeMap<String, (usize, Bytes)> = BTreeMap::new();
         for (offset, record) in records.iter().enumerate() {
-            let (key, value) = split(record);
+            let (key, value) = split_record(record);
             if value.is_empty() {
                 newest.remove(&key);
             } else {
@@ -184,7 +188,7 @@
         let began = Instant::now();
         loop {
             if self.faults.get().is_silent {
-                compio::time::sleep(NO_ANSWER).await;
+                compio::time::sleep(UNANSWERED_HOLD).await;
             }
             if self.faults.get().is_down {
                 return http_json::status(StatusCode::SERVICE_UNAVAILABLE);
@@ -192,7 +196,7 @@
             let (first, records) = {
                 let topics = self.topics.borrow();
                 let topic = topics.get(&topic);
-                let first = topic.map_or(0, |topic| topic.first);
+                let first = topic.map_or(0, |topic| topic.first_offset);
                 let records = topic.map_or(&[][..], |topic| &topic.records);
                 let skip = (from as usize).min(records.len());
                 (first, records[skip..].to_vec())
@@ -214,10 +218,10 @@
         }
     }
 
-    async fn take_append(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle_append(&self, request: Request<Incoming>) -> Response<Body> {
         let topic: String = http_json::query(&request, "topic").unwrap_or_default();
         let at: Option<u64> = http_json::query(&request, "at");
-        let Some(mut body) = http_json::body_of(request).await else {
+        let Some(mut body) = http_json::collect_body(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         let end = self.len(&topic) as u64;
@@ -233,64 +237,62 @@
     }
 
     async fn join(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(join) = http_json::json_of::<Join>(request).await else {
+        let Some(join) = http_json::read_json::<JoinRequest>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         let mut groups = self.groups.borrow_mut();
-        let members = groups.entry(join.group).or_default();
-        members.topic = join.topics.first().cloned().unwrap_or_default();
-        members.forget_silent();
+        let group = groups.entry(join.group).or_default();
+        group.topic = join.topics.first().cloned().unwrap_or_default();
+        group.expire_members();
         let until = Instant::now() + Duration::from_millis(join.ttl_ms);
-        if members.alive.insert(join.member.clone(), until).is_none() {
-            members.generation += 1;
+        if group.members.insert(join.member.clone(), until).is_none() {
+            group.generation += 1;
         }
-        let own = members.deal().into_iter();
+        let own = group.assignments().into_iter();
         let own = own.filter(|(_, member)| *member == join.member);
-        let parts: Vec<Value> = own
-            .map(|(part, _)| json!([members.topic, part, 0]))
-            .collect();
-        http_json::ok(&json!({"generation": members.generation, "parts": parts}))
+        let parts: Vec<Value> = own.map(|(part, _)| json!([group.topic, part, 0])).collect();
+        http_json::ok(&json!({"generation": group.generation, "parts": parts}))
     }
 
     async fn leave(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(leave) = http_json::json_of::<Leave>(request).await else {
+        let Some(leave) = http_json::read_json::<LeaveRequest>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
-        if let Some(members) = self.groups.borrow_mut().get_mut(&leave.group)
-            && members.alive.remove(&leave.member).is_some()
+        if let Some(group) = self.groups.borrow_mut().get_mut(&leave.group)
+            && group.members.remove(&leave.member).is_some()
         {
-            members.generation += 1;
+            group.generation += 1;
         }
         http_json::ok(&json!({}))
     }
 
     fn owners(&self, request: &Request<Incoming>) -> Response<Body> {
-        let group: String = http_json::query(request, "group").unwrap_or_default();
+        let name: String = http_json::query(request, "group").unwrap_or_default();
         let mut groups = self.groups.borrow_mut();
-        let members = groups.entry(group).or_default();
-        members.forget_silent();
-        let dealt = members.deal().into_iter();
-        let parts: Vec<Value> = dealt
-            .map(|(part, member)| json!([members.topic, part, member, 0]))
+        let group = groups.entry(name).or_default();
+        group.expire_members();
+        let assignments = group.assignments().into_iter();
+        let parts: Vec<Value> = assignments
+            .map(|(part, member)| json!([group.topic, part, member, 0]))
             .collect();
         http_json::ok(&json!({"parts": parts}))
     }
 }
 
-impl Members {
-    fn forget_silent(&mut self) {
+impl Group {
+    fn expire_members(&mut self) {
         let now = Instant::now();
-        let before = self.alive.len();
-        self.alive.retain(|_, until| *until > now);
-        if self.alive.len() < before {
+        let before = self.members.len();
+        self.members.retain(|_, until| *until > now);
+        if self.members.len() < before {
             self.generation += 1;
         }
     }
 
-    /// All partitions with their owners.
-    fn deal(&self) -> Vec<(u64, String)> {
-        let members: Vec<&String> = self.alive.keys().collect();
-        let parts = (0..PARTS).filter_map(|part| {
+    /// All partitions with their owners, assigned to the members in rotation.
+    fn assignments(&self) -> Vec<(u64, String)> {
+        let members: Vec<&String> = self.members.keys().collect();
+        let parts = (0..PARTITIONS).filter_map(|part| {
             let member = members.get(part as usize % members.len().max(1))?;
             Some((part, (*member).clone()))
         });
@@ -298,14 +300,17 @@
     }
 }
 
-fn keyed(key: &str, value: &[u8]) -> Bytes {
+/// Encodes a record of a keyed topic: a byte with the length of the key, the key and the value. An
+/// empty value deletes the key.
+fn keyed_record(key: &str, value: &[u8]) -> Bytes {
     let mut record = vec![key.len() as u8];
     record.extend(key.as_bytes());
     record.extend(value);
     record.into()
 }
 
-fn split(record: &Bytes) -> (String, Bytes) {
+/// Splits a record of a keyed topic into its key and its value.
+fn split_record(record: &Bytes) -> (String, Bytes) {
     let length = usize::from(record[0]);
     let key = String::from_utf8_lossy(&record[1..=length]).into_owned();
     (key, record.slice(1 + length..))
