--- a/workbench/src/site/caller.rs
+++ b/workbench/src/site/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the platform, who notes exactly what came back.
+//! A caller of the platform that records exactly what it receives.
 
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -10,32 +10,32 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a connection may take.
+/// The time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an answer may take before the caller gives up.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The time limit for a request and its whole answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A request.
+/// A request of a caller.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Its id.
+pub struct CallerRequest {
+    /// The id sent in `X-Attempt-Id`.
     pub id: String,
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// The path with its query.
+    /// The path and query.
     pub path: String,
-    /// Further headers.
+    /// Headers besides those that every request has.
     pub headers: Vec<(&'static str, String)>,
-    /// The body; with `is_chunked` sent in chunks.
+    /// The body.
     pub body: Vec<u8>,
-    /// Whether the body is sent in chunks.
+    /// Whether the body is sent with chunked transfer encoding.
     pub is_chunked: bool,
-    /// When the caller leaves, whatever has come.
-    pub leave_after: Option<Duration>,
+    /// When the caller disconnects, even with an incomplete answer.
+    pub disconnect_after: Option<Duration>,
 }
 
-impl Ask {
-    /// A request without a body.
+impl CallerRequest {
+    /// A `GET` request without a body.
     pub fn get(path: &str) -> Self {
         Self {
             id: format!("{:016x}", rand::random::<u64>()),
@@ -44,11 +44,11 @@
             headers: Vec::new(),
             body: Vec::new(),
             is_chunked: false,
-            leave_after: None,
+            disconnect_after: None,
         }
     }
 
-    /// A request with a body.
+    /// A `POST` request with a body.
     pub fn post(path: &str, body: &str) -> Self {
         Self {
             method: "POST",
@@ -57,7 +57,8 @@
         }
     }
 
-    /// A request for a model.
+    /// A `POST` request for `model`, given as `model` or `model/adapter`, with an estimate of its
+    /// tokens and the prefix of its prompt.
     pub fn model(path: &str, model: &str) -> Self {
         Self::post(path, "write")
             .with("X-Model", model)
@@ -65,7 +66,7 @@
             .with("X-Prompt-Prefix", "5c1e:100,91bd:600")
     }
 
-    /// With one more header.
+    /// Adds a header.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: &str) -> Self {
         self.headers.push((name, value.to_owned()));
@@ -73,101 +74,108 @@
     }
 }
 
-/// What came back.
+/// What a caller received for a request.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// The status, if a head came.
+    /// The status, if the response head was received.
     pub status: Option<u16>,
-    /// Headers, by name in lowercase.
+    /// Headers by lowercase name.
     pub headers: HashMap<String, String>,
-    /// The body as far as it came.
+    /// The received part of the body.
     pub body: String,
-    /// Whether it ended as a whole answer does.
-    pub is_whole: bool,
-    /// When each piece of the body came, since the request.
-    pub pieces: Vec<Duration>,
-    /// How long it all took.
-    pub took: Duration,
+    /// Whether the body ended as its framing says.
+    pub is_complete: bool,
+    /// When each chunk of the body was received, counted from the start of the request.
+    pub chunk_times: Vec<Duration>,
+    /// The time from the start of the request until the answer ended or was given up.
+    pub duration: Duration,
 }
 
 impl Answer {
-    /// A header's value, or nothing.
+    /// The value of a header, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Whether a status promises that the request did not run and never will.
+    /// Whether the status guarantees that the request did not run and never will.
     pub fn promises_not_run(&self) -> bool {
         matches!(self.status, Some(429 | 503 | 408 | 421))
     }
 }
 
-/// A caller with kept connections.
+/// A caller that keeps its connections open for later requests.
 #[derive(Debug, Default)]
 pub struct Caller {
-    kept: RefCell<HashMap<SocketAddr, Connection>>,
+    idle_connections: RefCell<HashMap<SocketAddr, Connection>>,
 }
 
 impl Caller {
-    /// Sends a request and reads what comes back.
-    pub async fn ask(&self, address: SocketAddr, ask: &Ask) -> Answer {
+    /// Sends a request and reads the answer until its end or the time limit.
+    pub async fn request(&self, address: SocketAddr, request: &CallerRequest) -> Answer {
         let mut answer = Answer::default();
         let began = Instant::now();
-        let patience = ask.leave_after.unwrap_or(PATIENCE);
-        // Without an end the answer tells by what is missing.
-        let _ = compio::time::timeout(patience, self.exchange(address, ask, &mut answer)).await;
-        answer.took = began.elapsed();
+        let timeout = request.disconnect_after.unwrap_or(REQUEST_TIMEOUT);
+        // The fields of the answer show how far the exchange came.
+        let _ = compio::time::timeout(timeout, self.exchange(address, request, &mut answer)).await;
+        answer.duration = began.elapsed();
         answer
     }
 
-    async fn exchange(&self, address: SocketAddr, ask: &Ask, answer: &mut Answer) -> Option<()> {
+    async fn exchange(
+        &self,
+        address: SocketAddr,
+        request: &CallerRequest,
+        answer: &mut Answer,
+    ) -> Option<()> {
         let began = Instant::now();
-        let kept = self.kept.borrow_mut().remove(&address);
-        let mut connection = match kept {
+        let idle = self.idle_connections.borrow_mut().remove(&address);
+        let mut connection = match idle {
             Some(connection) => connection,
             None => Connection::open(address, CONNECT_TIMEOUT).await.ok()?,
         };
-        let response = connection.send(request(ask)).await.ok()?;
+        let response = connection.send(http_request(request)).await.ok()?;
         answer.status = Some(response.status().as_u16());
         for (name, value) in response.headers() {
             let value = String::from_utf8_lossy(value.as_bytes()).into_owned();
             answer.headers.insert(name.to_string(), value);
         }
         let mut body = response.into_body().into_data_stream();
-        while let Some(piece) = body.next().await {
-            let piece: Bytes = piece.ok()?;
-            answer.pieces.push(began.elapsed());
-            answer.body.push_str(&String::from_utf8_lossy(&piece));
+        while let Some(chunk) = body.next().await {
+            let chunk: Bytes = chunk.ok()?;
+            answer.chunk_times.push(began.elapsed());
+            answer.body.push_str(&String::from_utf8_lossy(&chunk));
         }
-        answer.is_whole = true;
+        answer.is_complete = true;
         if answer.header("connection") != "close" {
-            self.kept.borrow_mut().insert(address, connection);
+            self.idle_connections
+                .borrow_mut()
+                .insert(address, connection);
         }
         Some(())
     }
 }
 
-fn request(ask: &Ask) -> Request<Body> {
-    let body = if ask.is_chunked {
-        let (mut sender, body) = Body::channel(ask.body.len());
-        for chunk in ask.body.chunks(3) {
+fn http_request(request: &CallerRequest) -> Request<Body> {
+    let body = if request.is_chunked {
+        let (mut sender, body) = Body::channel(request.body.len());
+        for chunk in request.body.chunks(3) {
             let chunk = Bytes::copy_from_slice(chunk);
             sender.try_send(Ok(chunk)).expect("the channel has room");
         }
         body
-    } else if ask.body.is_empty() {
+    } else if request.body.is_empty() {
         Body::empty()
     } else {
-        Body::full(ask.body.clone())
+        Body::full(request.body.clone())
     };
-    let mut request = Request::builder()
-        .method(ask.method)
-        .uri(&ask.path)
+    let mut builder = Request::builder()
+        .method(request.method)
+        .uri(&request.path)
         .header("Host", super::HOST)
-        .header("X-Attempt-Id", &ask.id)
+        .header("X-Attempt-Id", &request.id)
         .header("X-Deadline-Ms", "4000");
-    for (name, value) in &ask.headers {
-        request = request.header(*name, value);
+    for (name, value) in &request.headers {
+        builder = builder.header(*name, value);
     }
-    request.body(body).expect("the parts are valid")
+    builder.body(body).expect("the parts are valid")
 }
--- a/workbench/src/site/events.rs
+++ b/workbench/src/site/events.rs
@@ -1,39 +1,41 @@
-//! The stream that a scripted model runner sends.
+//! The event stream that a scripted model runner sends.
 
-use super::{Act, Call};
+use super::{ReceivedRequest, ScriptStep};
 use std::time::Duration;
 
-/// The head of a stream and events from `first` on, `count` in all, with a pause after each.
-pub fn events(call: &Call, first: u64, count: u64, pause_ms: u64) -> Vec<Act> {
-    let id = call.header("x-attempt-id");
+/// The response head and `count` events numbered from `first`, with a pause after each event.
+/// The stream stays open until [`last_chunk`] is sent.
+pub fn events(request: &ReceivedRequest, first: u64, count: u64, pause_ms: u64) -> Vec<ScriptStep> {
+    let id = request.header("x-attempt-id");
     let head = format!(
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Signature: sig\r\n\
          X-Weight-Versions: 1\r\nContent-Type: text/event-stream\r\n\
          Transfer-Encoding: chunked\r\n\r\n"
     );
-    let mut acts = vec![Act::Write(head.into_bytes())];
+    let mut steps = vec![ScriptStep::Write(head.into_bytes())];
     for number in first..first + count {
-        acts.push(Act::Write(chunk(&text(number, 1))));
-        acts.push(Act::Wait(Duration::from_millis(pause_ms)));
+        steps.push(ScriptStep::Write(chunk(&events_text(number, 1))));
+        steps.push(ScriptStep::Wait(Duration::from_millis(pause_ms)));
     }
-    acts
+    steps
 }
 
-/// What is left of a stream of `count` events after the last one that the caller names.
-pub fn rest(call: &Call, count: u64, pause_ms: u64) -> Vec<Act> {
-    let last: u64 = call.header("last-event-id").parse().unwrap_or(0);
-    let mut acts = events(call, last + 1, count - last, pause_ms);
-    acts.push(end());
-    acts
+/// The response to a resume request: the events of a stream of `count` that follow the one named
+/// in `Last-Event-Id`, and the end of the stream.
+pub fn remaining_events(request: &ReceivedRequest, count: u64, pause_ms: u64) -> Vec<ScriptStep> {
+    let last: u64 = request.header("last-event-id").parse().unwrap_or(0);
+    let mut steps = events(request, last + 1, count - last, pause_ms);
+    steps.push(last_chunk());
+    steps
 }
 
-/// The end of a whole stream.
-pub fn end() -> Act {
-    Act::Write(b"0\r\n\r\n".to_vec())
+/// The zero-length chunk that completes a stream.
+pub fn last_chunk() -> ScriptStep {
+    ScriptStep::Write(b"0\r\n\r\n".to_vec())
 }
 
-/// The events as their caller reads them.
-pub fn text(first: u64, count: u64) -> String {
+/// The decoded body that a caller reads for `count` events numbered from `first`.
+pub fn events_text(first: u64, count: u64) -> String {
     (first..first + count)
         .map(|number| format!("id: {number}\ndata: word{number}\n\n"))
         .collect()
--- a/workbench/src/site/mod.rs
+++ b/workbench/src/site/mod.rs
@@ -1,13 +1,15 @@
-//! The users' platform in small: its store, backend servers and settings files, with real
-//! processes of the shipped binary before them.
+//! A small platform for tests: stand-ins for its store and backend servers, with settings files
+//! and real processes of the shipped binary as VMs.
 
 mod caller;
 pub mod events;
 mod server;
 mod store;
 
-pub use caller::{Answer, Ask, Caller};
-pub use server::{Act, Call, Holds, Seen, ServerStandIn, signed};
+pub use caller::{Answer, Caller, CallerRequest};
+pub use server::{
+    LoadedModels, ReceivedRequest, ScriptStep, ServerEvent, ServerStandIn, signed_answer,
+};
 pub use store::{StoreFaults, StoreStandIn};
 
 use crate::cluster::Cluster;
@@ -19,43 +21,43 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The store's port.
+/// The port of the store.
 const STORE_PORT: u16 = 22_000;
 /// The first port of the backend servers.
 const SERVER_PORT: u16 = 22_100;
-/// The first port of the VMs; each takes ten.
+/// The first port of the VMs; each VM uses a range of ten.
 const VM_PORT: u16 = 22_300;
-/// How long anything may take before a test gives up.
+/// How long [`Site::wait`] waits for a condition before the test fails.
 const LIMIT: Duration = Duration::from_secs(30);
-/// The time between two looks at a condition.
+/// The interval between two checks of a condition.
 const POLL: Duration = Duration::from_millis(20);
-/// The host of all routes.
+/// The hostname of all routes.
 pub const HOST: &str = "desk.example";
 
-/// A running site.
+/// A running platform with its store, backend servers and VMs.
 #[derive(Debug)]
 pub struct Site {
-    /// The platform's store.
+    /// The stand-in for the platform's store.
     pub store: Rc<StoreStandIn>,
-    /// The backend servers.
+    /// The stand-ins for the backend servers.
     pub servers: Vec<Rc<ServerStandIn>>,
-    /// Our VMs.
+    /// The processes of the VMs.
     pub vms: Vec<Process>,
-    /// The address of everything.
+    /// The IP address that the store, the servers and the VMs listen on.
     pub ip: IpAddr,
-    /// Whether VMs are told that servers check the fences of orders.
+    /// Whether the settings of the VMs say that servers check the fence of each order.
     pub is_fenced: bool,
-    /// Retries that all VMs are allowed beyond a part of the requests.
+    /// The number of retries allowed to all VMs together beyond a fraction of the requests.
     pub retry_slack: u32,
-    /// The organisations of the next configuration; without any, requests need no key.
+    /// The organisations of the next configuration; with `None`, requests need no key.
     pub organisations: Option<Value>,
     folder: PathBuf,
     version: u64,
 }
 
 impl Site {
-    /// Starts the store and `servers`, each a service's name with what it holds.
-    pub async fn start(servers: Vec<(&str, Holds)>) -> Self {
+    /// Starts the store and `servers`, each given as its service's name and its loaded models.
+    pub async fn start(servers: Vec<(&str, LoadedModels)>) -> Self {
         let ip = Cluster::pick_ip();
         let folder = std::env::temp_dir().join(format!("site-{}-{ip}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a temporary folder can be made");
@@ -77,28 +79,28 @@
         site
     }
 
-    /// Starts one more backend server and enters it in the directory.
-    pub async fn add_server(&mut self, service: &str, holds: Holds) -> Rc<ServerStandIn> {
+    /// Starts one more backend server and adds it to the directory.
+    pub async fn add_server(&mut self, service: &str, holds: LoadedModels) -> Rc<ServerStandIn> {
         let index = self.servers.len();
         let address = SocketAddr::new(self.ip, SERVER_PORT + index as u16);
         let server = ServerStandIn::start(address, &format!("i-{index}"), service, holds).await;
-        self.enter(&server, "ready");
+        self.put_entry(&server, "ready");
         self.servers.push(server.clone());
         server
     }
 
-    /// Writes a server's entry.
-    pub fn enter(&self, server: &ServerStandIn, state: &str) {
+    /// Writes the directory entry of a server with the given state.
+    pub fn put_entry(&self, server: &ServerStandIn, state: &str) {
         let entry = server.entry(state);
         self.store.put("keyed.servers", &server.id, &entry);
     }
 
-    /// Takes a server's entry away.
+    /// Removes the directory entry of a server.
     pub fn remove(&self, server: &ServerStandIn) {
         self.store.drop_key("keyed.servers", &server.id);
     }
 
-    /// Puts a configuration with these routes and services in force.
+    /// Writes a new version of the configuration with these routes and services.
     pub fn configure(&mut self, routes: Value, services: Value) {
         self.version += 3;
         let mut config = json!({
@@ -118,7 +120,7 @@
         self.store.put("keyed.op", "config", &config);
     }
 
-    /// Starts `count` more VMs; ready only once they know what they need.
+    /// Starts `count` more VMs without waiting until they are ready.
     pub fn start_vms(&mut self, count: usize) {
         for _ in 0..count {
             let index = self.vms.len();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Starts a VM's process again after its end.
+    /// Starts the process of a VM again after it ended.
     pub fn restart_vm(&mut self, index: usize) {
         self.vms[index] = self.spawn_vm(index);
     }
@@ -187,7 +189,7 @@
         self.folder.join(format!("vm-{index}.log"))
     }
 
-    /// What a VM has logged so far, a JSON object a line.
+    /// The log of a VM so far, one JSON object per line.
     pub fn log(&self, index: usize) -> Vec<Value> {
         let text = std::fs::read_to_string(self.log_path(index)).unwrap_or_default();
         text.lines()
@@ -195,26 +197,30 @@
             .collect()
     }
 
-    /// Where callers reach a VM.
+    /// The address at which a VM accepts callers.
     pub fn front(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.ip, VM_PORT + 10 * index as u16)
     }
 
-    /// Where a VM tells of its readiness and its metrics.
+    /// The address at which a VM serves its readiness and its metrics.
     pub fn ready(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.ip, VM_PORT + 10 * index as u16 + 1)
     }
 
-    /// Whether a VM says that it takes connections.
+    /// Whether a VM reports that it is ready.
     pub async fn is_ready(&self, index: usize) -> bool {
-        let ask = Ask::get("/-/readiness");
-        Caller::default().ask(self.ready(index), &ask).await.status == Some(200)
+        let request = CallerRequest::get("/-/readiness");
+        Caller::default()
+            .request(self.ready(index), &request)
+            .await
+            .status
+            == Some(200)
     }
 
-    /// A gauge or counter of a VM, by its name without the prefix of all.
+    /// The value of a gauge or counter of a VM, by its name without the prefix `rattanjunction_`.
     pub async fn metric(&self, index: usize, name: &str) -> Option<f64> {
-        let metrics = Ask::get("/metrics");
-        let answer = Caller::default().ask(self.ready(index), &metrics).await;
+        let metrics = CallerRequest::get("/metrics");
+        let answer = Caller::default().request(self.ready(index), &metrics).await;
         let prefix = format!("rattanjunction_{name} ");
         let mut lines = answer.body.lines();
         let value = lines.find_map(|line| line.strip_prefix(&prefix))?;
@@ -229,11 +235,11 @@
         }
     }
 
-    /// Waits for a condition.
+    /// Waits until a condition holds; `what` describes it in the message of a failure.
     ///
     /// # Panics
     ///
-    /// Panics when it does not come true.
+    /// Panics when the condition does not hold within the time limit, after printing all logs.
     pub async fn wait(&self, what: &str, condition: impl AsyncFn() -> bool) {
         let began = Instant::now();
         while !condition().await {
@@ -243,7 +249,7 @@
                         eprintln!("vm-{index} {line}");
                     }
                 }
-                panic!("{what}: not within {LIMIT:?}");
+                panic!("condition not met within {LIMIT:?}: {what}");
             }
             compio::time::sleep(POLL).await;
         }
@@ -253,12 +259,12 @@
 impl Drop for Site {
     fn drop(&mut self) {
         self.vms.clear();
-        // A folder that stays behind harms nobody.
+        // Failing to remove the temporary folder does not affect other tests.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A route of the configuration.
+/// A route of the configuration, of a kind such as `safe`, `unsafe` or `streaming`.
 pub fn route(prefix: &str, kind: &str, service: &str) -> Value {
     json!({
         "name": format!("r{}", prefix.replace('/', "-")),
@@ -284,8 +290,9 @@
     json!({"name": name, "health_path": "/health", "max_connections": 110})
 }
 
-/// A service with model runners that have room for two of its models.
-pub fn engine(name: &str, models: &[(&str, u32)]) -> Value {
+/// A service of model runners, each with memory for two of the given models. Each model comes
+/// with the number of its adapters.
+pub fn runner_service(name: &str, models: &[(&str, u32)]) -> Value {
     let models: Vec<Value> = models
         .iter()
         .map(|(name, adapters)| {
--- a/workbench/src/site/server.rs
+++ b/workbench/src/site/server.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a backend server, plain or with models, over raw connections, so that it
-//! can answer in ways that no well-behaved server does.
+//! A stand-in for a backend server, with or without models. It writes to raw connections, so
+//! that it can answer in ways that no correct server does.
 
 use compio::BufResult;
 use compio::io::{AsyncRead, AsyncWriteExt};
@@ -13,82 +13,87 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Bytes read at once.
-const CHUNK_BYTES: usize = 16 * 1024;
-/// How often an idle connection looks whether its server is dead.
+/// The buffer size of one read.
+const READ_BYTES: usize = 16 * 1024;
+/// How often a waiting task checks whether its server is dead.
 const DEATH_POLL: Duration = Duration::from_millis(20);
-/// When a server started, in Unix milliseconds.
+/// The start time that every server reports first, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_700_000_000_000;
-/// From one start of a server to the next.
+/// How much the reported start time advances at a restart, in milliseconds.
 const RESTART_MS: u64 = 5_000;
-/// Headers of a request at most.
+/// The maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
 
-/// Models with their adapters.
-pub type Holds = Vec<(&'static str, Vec<&'static str>)>;
+/// Loaded models, each with its loaded adapters.
+pub type LoadedModels = Vec<(&'static str, Vec<&'static str>)>;
 
-/// One request as it came.
+/// A request as the server received it.
 #[derive(Clone, Debug, Default)]
-pub struct Call {
-    /// The method.
+pub struct ReceivedRequest {
+    /// The HTTP method.
     pub method: String,
-    /// The path with its query.
+    /// The path and query.
     pub path: String,
-    /// Headers, by name in lowercase.
+    /// Headers by lowercase name.
     pub headers: HashMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-impl Call {
-    /// A header's value, or nothing.
+impl ReceivedRequest {
+    /// The value of a header, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// What a server does next on a connection.
+/// One step of a scripted answer on a connection.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum ScriptStep {
     /// Sends bytes.
     Write(Vec<u8>),
-    /// Waits; ends early when the other end leaves.
+    /// Waits; ends early when the client disconnects.
     Wait(Duration),
     /// Closes the connection.
     Close,
-    /// Resets the connection: what the other end has not read yet may be lost.
+    /// Resets the connection; bytes that the client has not read yet may be lost.
     Reset,
 }
 
-/// What happened at a server.
+/// An event that a server recorded.
 #[derive(Clone, Debug)]
-pub enum Seen {
-    /// It began to run a request.
-    Ran(Call),
-    /// It refused a request without running it.
-    Refused(Call),
-    /// The other end left while it was at work on the request with this id.
-    Left(String, Instant),
-    /// An order, with the status that it got.
+pub enum ServerEvent {
+    /// The server began to run a request.
+    Ran(ReceivedRequest),
+    /// The server refused a request without running it.
+    Refused(ReceivedRequest),
+    /// The connection ended at this time while the request with this id was being answered.
+    Disconnected(String, Instant),
+    /// The server answered an order with this status.
     Order(Value, u16),
 }
 
-type Script = Box<dyn Fn(&Call) -> Vec<Act>>;
+/// Computes the answer to a request.
+type Script = Box<dyn Fn(&ReceivedRequest) -> Vec<ScriptStep>>;
 
-/// The server's stand-in.
+/// A stand-in for a backend server.
 pub struct ServerStandIn {
-    /// The id of its run.
+    /// The instance id, which stays the same over restarts.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: String,
     address: SocketAddr,
     started_ms: Cell<u64>,
-    holds: RefCell<Vec<(String, Vec<String>)>>,
-    orders: Cell<u64>,
+    loaded: RefCell<Vec<(String, Vec<String>)>>,
+    /// The number of orders that changed what is loaded since the start.
+    order_count: Cell<u64>,
+    /// The highest fence of an order since the start.
     fence: Cell<u64>,
-    scripts: RefCell<VecDeque<Script>>,
+    /// Scripts for one request each, in order of use.
+    next_scripts: RefCell<VecDeque<Script>>,
+    /// The script for all other requests.
     script: RefCell<Option<Script>>,
-    seen: RefCell<Vec<Seen>>,
+    seen: RefCell<Vec<ServerEvent>>,
     connections: Cell<u64>,
     overruns: Cell<u64>,
     is_dead: Cell<bool>,
@@ -102,8 +107,8 @@
     }
 }
 
-/// A whole signed answer with a length.
-pub fn signed(id: &str, status: u16, body: &str) -> Vec<u8> {
+/// A complete signed answer with a `Content-Length` to the request with this id.
+pub fn signed_answer(id: &str, status: u16, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status} Answer\r\nX-Attempt-Id: {id}\r\nX-Server-Signature: sig-{id}\r\n\
          Keep-Alive: timeout=5\r\nX-Of-The-Server: kept\r\nContent-Length: {}\r\n\r\n{body}",
@@ -112,11 +117,11 @@
     .into_bytes()
 }
 
-fn bare(status: u16, headers: &str, body: &str) -> Vec<Act> {
+fn unsigned_answer(status: u16, headers: &str, body: &str) -> Vec<ScriptStep> {
     let length = body.len();
     let answer =
         format!("HTTP/1.1 {status} Answer\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
-    vec![Act::Write(answer.into_bytes())]
+    vec![ScriptStep::Write(answer.into_bytes())]
 }
 
 impl ServerStandIn {
@@ -124,23 +129,23 @@
         address: SocketAddr,
         id: &str,
         service: &str,
-        holds: Holds,
+        models: LoadedModels,
     ) -> Rc<Self> {
         let owned = |names: Vec<&str>| names.into_iter().map(str::to_owned).collect();
-        let holds = holds.into_iter();
+        let models = models.into_iter();
         let server = Rc::new(Self {
             id: id.to_owned(),
             service: service.to_owned(),
             address,
             started_ms: Cell::new(FIRST_START_MS),
-            holds: RefCell::new(
-                holds
+            loaded: RefCell::new(
+                models
                     .map(|(model, adapters)| (model.to_owned(), owned(adapters)))
                     .collect(),
             ),
-            orders: Cell::new(0),
+            order_count: Cell::new(0),
             fence: Cell::new(0),
-            scripts: RefCell::default(),
+            next_scripts: RefCell::default(),
             script: RefCell::default(),
             seen: RefCell::default(),
             connections: Cell::new(0),
@@ -154,7 +159,7 @@
         server
     }
 
-    /// The entry that it writes into the directory.
+    /// The server's entry in the directory, with the given state.
     pub fn entry(&self, state: &str) -> Value {
         json!({
             "service": self.service,
@@ -171,92 +176,93 @@
     }
 
     fn models(&self) -> Vec<Value> {
-        let holds = self.holds.borrow();
-        let models = holds
+        let loaded = self.loaded.borrow();
+        let models = loaded
             .iter()
             .map(|(model, adapters)| json!({"name": model, "version": 1, "adapters": adapters}));
         models.collect()
     }
 
-    /// Answers the next request by a script of its own.
-    pub fn script_next(&self, script: impl Fn(&Call) -> Vec<Act> + 'static) {
-        self.scripts.borrow_mut().push_back(Box::new(script));
+    /// Adds a script that answers a single request; such scripts are used in the order added.
+    pub fn script_next(&self, script: impl Fn(&ReceivedRequest) -> Vec<ScriptStep> + 'static) {
+        self.next_scripts.borrow_mut().push_back(Box::new(script));
     }
 
-    /// Answers all requests by a script, but for those that have one of their own.
-    pub fn script(&self, script: impl Fn(&Call) -> Vec<Act> + 'static) {
+    /// Sets the script for all requests that have none from [`Self::script_next`].
+    pub fn script(&self, script: impl Fn(&ReceivedRequest) -> Vec<ScriptStep> + 'static) {
         *self.script.borrow_mut() = Some(Box::new(script));
     }
 
-    /// Starts again under its id: it holds nothing, and counts and fences begin anew.
+    /// Simulates a restart under the same id: nothing is loaded, and the order count and the fence
+    /// start from zero.
     pub fn restart(&self) {
         self.started_ms.set(self.started_ms.get() + RESTART_MS);
-        self.holds.borrow_mut().clear();
-        self.orders.set(0);
+        self.loaded.borrow_mut().clear();
+        self.order_count.set(0);
         self.fence.set(0);
     }
 
-    /// Loses a model without an order, as an engine that fails does.
-    pub fn forget(&self, model: &str) {
-        self.holds.borrow_mut().retain(|(name, _)| name != model);
+    /// Unloads a model without an order, as a failing engine does.
+    pub fn lose_model(&self, model: &str) {
+        self.loaded.borrow_mut().retain(|(name, _)| name != model);
     }
 
-    /// Ends all connections and takes no more.
+    /// Closes all connections and accepts no more.
     pub fn die(&self) {
         self.is_dead.set(true);
     }
 
-    /// What happened so far.
-    pub fn seen(&self) -> Vec<Seen> {
+    /// The events recorded so far.
+    pub fn seen(&self) -> Vec<ServerEvent> {
         self.seen.borrow().clone()
     }
 
-    /// The requests that it ran.
-    pub fn runs(&self) -> Vec<Call> {
+    /// The requests that the server ran.
+    pub fn runs(&self) -> Vec<ReceivedRequest> {
         let seen = self.seen.borrow();
-        let runs = seen.iter().filter_map(|seen| match seen {
-            Seen::Ran(call) => Some(call.clone()),
+        let runs = seen.iter().filter_map(|event| match event {
+            ServerEvent::Ran(request) => Some(request.clone()),
             _ => None,
         });
         runs.collect()
     }
 
-    /// The orders that it got, with their statuses.
+    /// The orders that the server received, with the status of its answer.
     pub fn orders(&self) -> Vec<(Value, u16)> {
         let seen = self.seen.borrow();
-        let orders = seen.iter().filter_map(|seen| match seen {
-            Seen::Order(order, status) => Some((order.clone(), *status)),
+        let orders = seen.iter().filter_map(|event| match event {
+            ServerEvent::Order(order, status) => Some((order.clone(), *status)),
             _ => None,
         });
         orders.collect()
     }
 
-    /// Whether it holds a model, or an adapter of it.
+    /// Whether a model is loaded, and the adapter if one is given.
     pub fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
-        let holds = self.holds.borrow();
-        let held = holds.iter().find(|(name, _)| name == model);
+        let loaded = self.loaded.borrow();
+        let held = loaded.iter().find(|(name, _)| name == model);
         held.is_some_and(|(_, adapters)| {
             adapter.is_none_or(|adapter| adapters.iter().any(|name| name == adapter))
         })
     }
 
-    /// Where it is reached.
+    /// The address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections accepted so far.
+    /// The number of connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.connections.get()
     }
 
-    /// Orders that asked for more than it has room for.
+    /// The number of orders after which more was loaded than the server has memory for.
     pub fn overruns(&self) -> u64 {
         self.overruns.get()
     }
 
-    fn note(&self, seen: Seen) {
-        self.seen.borrow_mut().push(seen);
+    fn record(&self, event: ServerEvent) {
+        self.seen.borrow_mut().push(event);
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
@@ -266,8 +272,8 @@
         }
     }
 
-    /// Waits for a connection; `None` once the server is dead. A wait that is given up loses the
-    /// connection that came in the same moment, so that it is given up only then.
+    /// Waits for a connection; `None` once the server is dead. Cancelling an accept can lose a
+    /// connection that arrives at that moment, so the same accept is polled until the server dies.
     async fn accept_one(&self, listener: &TcpListener) -> Option<TcpStream> {
         let mut accept = Box::pin(listener.accept());
         while !self.is_dead.get() {
@@ -283,32 +289,32 @@
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut read = Vec::new();
-        while let Some(call) = self.read_call(&mut stream, &mut read).await {
-            for act in self.answer(&call) {
-                let goes_on = match act {
-                    Act::Write(bytes) => stream.write_all(bytes).await.0.is_ok(),
-                    Act::Wait(time) => self.wait(&mut stream, &mut read, time).await,
-                    Act::Close => false,
-                    Act::Reset => {
-                        // With nothing to linger for, closing it sends a reset.
+        while let Some(request) = self.read_request(&mut stream, &mut read).await {
+            for step in self.answer(&request) {
+                let is_open = match step {
+                    ScriptStep::Write(bytes) => stream.write_all(bytes).await.0.is_ok(),
+                    ScriptStep::Wait(time) => self.wait(&mut stream, &mut read, time).await,
+                    ScriptStep::Close => false,
+                    ScriptStep::Reset => {
+                        // With a zero linger time, closing the socket sends a reset.
                         let _ = stream.set_zero_linger();
                         false
                     }
                 };
-                if !goes_on || self.is_dead.get() {
-                    let id = call.header("x-attempt-id").to_owned();
-                    self.note(Seen::Left(id, Instant::now()));
+                if !is_open || self.is_dead.get() {
+                    let id = request.header("x-attempt-id").to_owned();
+                    self.record(ServerEvent::Disconnected(id, Instant::now()));
                     return;
                 }
             }
         }
     }
 
-    /// Waits; false if the other end left.
+    /// Waits while keeping what the client sends; false if the client disconnected.
     async fn wait(&self, stream: &mut TcpStream, read: &mut Vec<u8>, time: Duration) -> bool {
         let until = Instant::now() + time;
         loop {
-            let more = pin!(stream.read(Vec::with_capacity(CHUNK_BYTES)));
+            let more = pin!(stream.read(Vec::with_capacity(READ_BYTES)));
             let sleep = pin!(compio::time::sleep_until(until));
             match select(more, sleep).await {
                 Either::Left((BufResult(Ok(count), bytes), _)) if count > 0 => read.extend(bytes),
@@ -318,11 +324,15 @@
         }
     }
 
-    async fn read_call(&self, stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<Call> {
+    async fn read_request(
+        &self,
+        stream: &mut TcpStream,
+        read: &mut Vec<u8>,
+    ) -> Option<ReceivedRequest> {
         loop {
-            if let Some((call, length)) = parse(read) {
+            if let Some((request, length)) = parse(read) {
                 read.drain(..length);
-                return Some(call);
+                return Some(request);
             }
             let BufResult(count, bytes) = self.read_more(stream).await?;
             if count.ok()? == 0 {
@@ -332,9 +342,9 @@
         }
     }
 
-    /// Reads what comes; `None` once the server is dead.
+    /// Reads the next bytes; `None` once the server is dead.
     async fn read_more(&self, stream: &mut TcpStream) -> Option<BufResult<usize, Vec<u8>>> {
-        let mut more = pin!(stream.read(Vec::with_capacity(CHUNK_BYTES)));
+        let mut more = pin!(stream.read(Vec::with_capacity(READ_BYTES)));
         while !self.is_dead.get() {
             if let Ok(read) = compio::time::timeout(DEATH_POLL, more.as_mut()).await {
                 return Some(read);
@@ -343,32 +353,32 @@
         None
     }
 
-    fn answer(&self, call: &Call) -> Vec<Act> {
-        match call.path.as_str() {
-            "/-/report" => return bare(200, "", &self.report().to_string()),
-            "/-/order" => return self.take_order(call),
+    fn answer(&self, request: &ReceivedRequest) -> Vec<ScriptStep> {
+        match request.path.as_str() {
+            "/-/report" => return unsigned_answer(200, "", &self.report().to_string()),
+            "/-/order" => return self.handle_order(request),
             _ => {}
         }
-        let expected = call.header("x-expect-instance");
-        let (model, adapter) = match call.header("x-model").split_once('/') {
+        let expected = request.header("x-expect-instance");
+        let (model, adapter) = match request.header("x-model").split_once('/') {
             Some((model, adapter)) => (model, Some(adapter)),
-            None => (call.header("x-model"), None),
+            None => (request.header("x-model"), None),
         };
-        let is_meant = expected.is_empty() || expected == self.id;
-        if !is_meant || (!model.is_empty() && !self.holds(model, adapter)) {
-            self.note(Seen::Refused(call.clone()));
-            return bare(421, &format!("X-Instance-Id: {}\r\n", self.id), "");
+        let is_addressee = expected.is_empty() || expected == self.id;
+        if !is_addressee || (!model.is_empty() && !self.holds(model, adapter)) {
+            self.record(ServerEvent::Refused(request.clone()));
+            return unsigned_answer(421, &format!("X-Instance-Id: {}\r\n", self.id), "");
         }
-        self.note(Seen::Ran(call.clone()));
-        if let Some(script) = self.scripts.borrow_mut().pop_front() {
-            return script(call);
+        self.record(ServerEvent::Ran(request.clone()));
+        if let Some(script) = self.next_scripts.borrow_mut().pop_front() {
+            return script(request);
         }
         match &*self.script.borrow() {
-            Some(script) => script(call),
-            None => vec![Act::Write(signed(
-                call.header("x-attempt-id"),
+            Some(script) => script(request),
+            None => vec![ScriptStep::Write(signed_answer(
+                request.header("x-attempt-id"),
                 200,
-                &format!("{} says {}", self.id, call.path),
+                &format!("{} says {}", self.id, request.path),
             ))],
         }
     }
@@ -378,7 +388,7 @@
             "stage": "colocated",
             "models": self.models(),
             "busy": false,
-            "sequence": self.orders.get(),
+            "sequence": self.order_count.get(),
             "born": self.started_ms.get(),
             "waiting": 0,
             "running": 0,
@@ -388,14 +398,15 @@
         })
     }
 
-    fn take_order(&self, call: &Call) -> Vec<Act> {
-        let order: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
-        let status = self.judge(&order);
-        self.note(Seen::Order(order, status));
-        bare(status, "", "")
+    fn handle_order(&self, request: &ReceivedRequest) -> Vec<ScriptStep> {
+        let order: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
+        let status = self.apply_order(&order);
+        self.record(ServerEvent::Order(order, status));
+        unsigned_answer(status, "", "")
     }
 
-    fn judge(&self, order: &Value) -> u16 {
+    /// Loads or unloads as ordered and returns the status of the answer.
+    fn apply_order(&self, order: &Value) -> u16 {
         let (Some(fence), Some(model)) = (order["fence_token"].as_u64(), order["model"].as_str())
         else {
             return 400;
@@ -405,7 +416,7 @@
         }
         self.fence.set(fence);
         let expected = order["precondition"].as_u64();
-        if expected.is_some_and(|expected| expected != self.orders.get()) {
+        if expected.is_some_and(|expected| expected != self.order_count.get()) {
             return 409;
         }
         let adapter = order["adapter"].as_str();
@@ -413,13 +424,13 @@
         if self.holds(model, adapter) == is_load {
             return 200;
         }
-        self.orders.set(self.orders.get() + 1);
-        let mut holds = self.holds.borrow_mut();
+        self.order_count.set(self.order_count.get() + 1);
+        let mut loaded = self.loaded.borrow_mut();
         match (adapter, is_load) {
-            (None, true) => holds.push((model.to_owned(), Vec::new())),
-            (None, false) => holds.retain(|(name, _)| name != model),
+            (None, true) => loaded.push((model.to_owned(), Vec::new())),
+            (None, false) => loaded.retain(|(name, _)| name != model),
             (Some(adapter), is_load) => {
-                for (_, adapters) in holds.iter_mut().filter(|(name, _)| name == model) {
+                for (_, adapters) in loaded.iter_mut().filter(|(name, _)| name == model) {
                     adapters.retain(|name| name != adapter);
                     if is_load {
                         adapters.push(adapter.to_owned());
@@ -427,11 +438,11 @@
                 }
             }
         }
-        let adapters: usize = holds.iter().map(|(_, adapters)| adapters.len()).sum();
-        if holds.len() > 2 || adapters > 8 {
+        let adapters: usize = loaded.iter().map(|(_, adapters)| adapters.len()).sum();
+        if loaded.len() > 2 || adapters > 8 {
             self.overruns.set(self.overruns.get() + 1);
         }
-        // An adapter out of use is dropped at once.
+        // An adapter is unloaded immediately, so that the order is already done.
         if adapter.is_some() && !is_load {
             200
         } else {
@@ -440,8 +451,8 @@
     }
 }
 
-/// A request and its length, once it is there whole.
-fn parse(bytes: &[u8]) -> Option<(Call, usize)> {
+/// Parses a request; returns it with its length in bytes, or `None` while it is incomplete.
+fn parse(bytes: &[u8]) -> Option<(ReceivedRequest, usize)> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let httparse::Status::Complete(head) = request.parse(bytes).ok()? else {
@@ -460,11 +471,11 @@
         .and_then(|length| length.parse().ok())
         .unwrap_or(0);
     let body = bytes.get(head..head + length)?.to_vec();
-    let call = Call {
+    let received = ReceivedRequest {
         method: request.method?.to_owned(),
         path: request.path?.to_owned(),
         headers,
         body,
     };
-    Some((call, head + length))
+    Some((received, head + length))
 }
