--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -175,7 +175,8 @@
                 }
             }
             let limit = ANSWER_TIMEOUT + wait;
-            let opened = Connection::open_owned(self.address, CONNECT_TIMEOUT, limit).await?;
+            let opened =
+                Connection::open_abort_on_drop(self.address, CONNECT_TIMEOUT, limit).await?;
             self.exchange(opened, &method, path, &body).await
         };
         let outcome = compio::time::timeout(ANSWER_TIMEOUT + wait, exchange);
