--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -58,11 +58,11 @@
     /// Requests that the server runs at a time.
     pub(crate) slots: u32,
     /// Prefill time of the prompts queued on the server, in milliseconds.
-    pub(crate) prompts_wait_ms: f64,
+    pub(crate) queued_prefill_ms: f64,
     /// Whether the server is in this VM's availability zone.
-    pub(crate) is_near: bool,
+    pub(crate) is_local: bool,
     /// Whether load reports from other zones arrive late.
-    pub(crate) is_far_late: bool,
+    pub(crate) is_remote_load_stale: bool,
     /// Whether an idle connection to the server is open.
     pub(crate) is_connected: bool,
     /// Whether the request ends before other VMs learn of it, as calls to plain services do.
@@ -86,14 +86,17 @@
     /// are processed. Sent now, it would make streams on the server pause for longer than
     /// `max_pause_ms` allows.
     pub(crate) fn defers_prompt(&self, prefill_ms: f64, max_pause_ms: f64) -> bool {
-        let queued_ms = self.prompts_wait_ms;
+        let queued_ms = self.queued_prefill_ms;
         queued_ms > NEGLIGIBLE_PREFILL_MS
             && queued_ms + prefill_ms > max_pause_ms * PREFILL_PAUSE_SHARE
     }
 
     /// Returns the load plus all penalties, in requests per slot; lower is better.
     fn score(&self) -> f64 {
-        let zone = match (self.is_near, self.is_far_late && !self.is_short_call) {
+        let zone = match (
+            self.is_local,
+            self.is_remote_load_stale && !self.is_short_call,
+        ) {
             (true, _) => 0.0,
             (false, true) => STALE_ZONE_PENALTY,
             (false, false) => REMOTE_ZONE_PENALTY,
@@ -106,12 +109,12 @@
             true => self.load() * SHORT_CALL_LOAD_WEIGHT,
             false => self.load(),
         };
-        load + self.prompts_wait_ms / PREFILL_MS_PER_LOAD + zone + connect
+        load + self.queued_prefill_ms / PREFILL_MS_PER_LOAD + zone + connect
     }
 
     /// Whether the server is local and so lightly loaded that no remote one would be faster.
     fn is_local_and_lightly_loaded(&self) -> bool {
-        self.is_near && self.load() < LIGHT_LOAD && self.prompts_wait_ms < NEGLIGIBLE_PREFILL_MS
+        self.is_local && self.load() < LIGHT_LOAD && self.queued_prefill_ms < NEGLIGIBLE_PREFILL_MS
     }
 
     /// Returns the sort key that takes precedence over the score; lower is better.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -76,7 +76,7 @@
     /// Whether the last known leader gave up leadership.
     leadership_released: Cell<bool>,
     /// Whether it takes several rounds to send to every VM in a remote zone.
-    is_far_late: Cell<bool>,
+    is_remote_load_stale: Cell<bool>,
     /// The scope of the triggered message that has yet to be sent.
     update_scope: Cell<UpdateScope>,
     update_signal: Signal,
@@ -101,7 +101,7 @@
             has_read_members: Cell::default(),
             has_all_members: Cell::default(),
             leadership_released: Cell::default(),
-            is_far_late: Cell::default(),
+            is_remote_load_stale: Cell::default(),
             update_scope: Cell::default(),
             update_signal: Signal::default(),
             crashes: RefCell::default(),
@@ -432,8 +432,8 @@
 
     /// Whether the reported load of VMs in remote zones is several rounds stale, since there are
     /// many of them.
-    pub(crate) fn is_far_late(&self) -> bool {
-        self.is_far_late.get()
+    pub(crate) fn is_remote_load_stale(&self) -> bool {
+        self.is_remote_load_stale.get()
     }
 
     /// The recipients of messages: all known VMs, split into those in `zone` and those in remote
@@ -454,7 +454,7 @@
                 of_zone.or_default().push(vm.address);
             }
         }
-        self.is_far_late.set(targets.remote_rounds() > 1);
+        self.is_remote_load_stale.set(targets.remote_rounds() > 1);
         targets
     }
 
--- a/src/gateway/tests/brief.rs
+++ b/src/gateway/tests/brief.rs
@@ -76,9 +76,9 @@
             let candidates = reported.iter().map(|in_flight| Candidate {
                 in_flight: *in_flight,
                 slots: SLOTS as u32,
-                prompts_wait_ms: 0.0,
-                is_near: true,
-                is_far_late: vms.count > 12,
+                queued_prefill_ms: 0.0,
+                is_local: true,
+                is_remote_load_stale: vms.count > 12,
                 is_connected: true,
                 is_short_call: true,
                 has_failed: false,
--- a/src/gateway/tests/decisions.rs
+++ b/src/gateway/tests/decisions.rs
@@ -19,9 +19,9 @@
     Candidate {
         in_flight,
         slots: 64,
-        prompts_wait_ms: 0.0,
-        is_near: true,
-        is_far_late: false,
+        queued_prefill_ms: 0.0,
+        is_local: true,
+        is_remote_load_stale: false,
         is_connected: true,
         is_short_call: false,
         has_failed: false,
@@ -31,7 +31,7 @@
 #[test]
 fn the_least_loaded_server_is_chosen_and_a_local_one_among_equals() {
     let remote = Candidate {
-        is_near: false,
+        is_local: false,
         ..candidate(10)
     };
     assert_eq!(
@@ -69,7 +69,7 @@
 #[test]
 fn a_server_with_more_streams_is_preferred_to_one_with_queued_prompts() {
     let prefilling = Candidate {
-        prompts_wait_ms: 40.0,
+        queued_prefill_ms: 40.0,
         ..candidate(10)
     };
     assert_eq!(choose(&[prefilling, candidate(50)], || 0.5), Some(1));
@@ -96,7 +96,7 @@
     assert_eq!(choose(&[candidate(71), candidate(80)], || 0.5), Some(0));
     // Queued prompts on the server with free slots make no difference.
     let prefilling = Candidate {
-        prompts_wait_ms: 2_000.0,
+        queued_prefill_ms: 2_000.0,
         ..candidate(60)
     };
     assert_eq!(choose(&[candidate(71), prefilling], || 0.5), Some(1));
--- a/src/gateway/tests/spreading.rs
+++ b/src/gateway/tests/spreading.rs
@@ -78,9 +78,9 @@
                 Candidate {
                     in_flight: own[vm][runner] + others,
                     slots: SLOTS,
-                    prompts_wait_ms: estimated[vm][runner].wait_ms(now),
-                    is_near: runner % 3 == vm % 3,
-                    is_far_late: false,
+                    queued_prefill_ms: estimated[vm][runner].wait_ms(now),
+                    is_local: runner % 3 == vm % 3,
+                    is_remote_load_stale: false,
                     is_connected: true,
                     is_short_call: false,
                     has_failed: false,
--- a/src/gateway/tests/waiting.rs
+++ b/src/gateway/tests/waiting.rs
@@ -82,9 +82,9 @@
             let candidate = Candidate {
                 in_flight: 10,
                 slots: 32,
-                prompts_wait_ms: backlog_ms,
-                is_near: true,
-                is_far_late: false,
+                queued_prefill_ms: backlog_ms,
+                is_local: true,
+                is_remote_load_stale: false,
                 is_connected: true,
                 is_short_call: false,
                 has_failed: false,
--- a/src/gateway/tests/zones.rs
+++ b/src/gateway/tests/zones.rs
@@ -32,7 +32,7 @@
 
 /// Simulates requests that occupy `share` of the runners' slots, with `skew` times as many in the
 /// first zone as in each other one.
-fn simulate(share: f64, skew: f64, is_far_late: bool, seed: u64) -> Outcome {
+fn simulate(share: f64, skew: f64, is_remote_load_stale: bool, seed: u64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
     let mut own = vec![[0_u32; RUNNERS]; VMS];
@@ -79,9 +79,9 @@
                     Candidate {
                         in_flight: own[vm][runner] + others.sum::<u32>(),
                         slots: SLOTS,
-                        prompts_wait_ms: estimated[vm][runner].wait_ms(now),
-                        is_near: runner % ZONES == zone,
-                        is_far_late,
+                        queued_prefill_ms: estimated[vm][runner].wait_ms(now),
+                        is_local: runner % ZONES == zone,
+                        is_remote_load_stale,
                         is_connected: true,
                         is_short_call: false,
                         has_failed: false,
