--- a/src/gateway/caller_request.rs
+++ b/src/gateway/caller_request.rs
@@ -25,7 +25,7 @@
     /// The body; empty until it has been read.
     pub(crate) body: Bytes,
     /// How long the caller waits for the complete answer, counted from the arrival of the request.
-    pub(crate) patience: Option<Duration>,
+    pub(crate) time_limit: Option<Duration>,
     /// The last event that the caller has received, if it resumes a stream.
     pub(crate) last_event: Option<u64>,
     /// The caller's API key, if the request has exactly one.
--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -63,7 +63,7 @@
     fn read_caller_request(head: &request::Parts) -> Result<CallerRequest, Malformed>;
 
     /// Builds the request that is sent to a backend server.
-    fn to_server(ask: &CallerRequest, options: &SendOptions<'_>) -> Request<Body>;
+    fn to_server(caller_request: &CallerRequest, options: &SendOptions<'_>) -> Request<Body>;
 
     /// Parses the head of a backend server's response.
     fn read_reply(head: &response::Parts) -> Reply;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -76,7 +76,7 @@
             }
         };
         let id = request.id.clone();
-        let caller_timeout = request.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let caller_timeout = request.time_limit.unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let model = request.generation.as_ref().map(|it| it.model.clone());
         let model = model.unwrap_or_default();
         match self.clone().answer(request, body, arrived).await {
@@ -138,7 +138,7 @@
         let timeout = route.timeout();
         let deadline = arrived
             + request
-                .patience
+                .time_limit
                 .map_or(timeout, |caller_timeout| caller_timeout.min(timeout));
         let limit_bytes = configuration.limits.max_body_bytes;
         let reading = read_body(body, limit_bytes);
--- a/src/gateway/streaming.rs
+++ b/src/gateway/streaming.rs
@@ -278,8 +278,8 @@
             let timeout_ms = call.route.timeout_ms;
             let patience_ms = call
                 .request
-                .patience
-                .map(|patience| patience.as_millis() as u64);
+                .time_limit
+                .map(|time_limit| time_limit.as_millis() as u64);
             info!(
                 request = %call.request.id,
                 runs = call.runs,
--- a/src/platform/requests.rs
+++ b/src/platform/requests.rs
@@ -161,7 +161,7 @@
             method: head.method.clone(),
             host: host.to_ascii_lowercase().into(),
             path: path.unwrap_or_else(|| PathAndQuery::from_static("/")),
-            patience: header_number(&head.headers, &DEADLINE_MS).map(Duration::from_millis),
+            time_limit: header_number(&head.headers, &DEADLINE_MS).map(Duration::from_millis),
             last_event: header_number(&head.headers, &LAST_EVENT_ID),
             tokens: tokens_of(&head.headers),
             key: key_of(&head.headers),
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -102,7 +102,10 @@
     let caller_request =
         PlatformProtocol::read_caller_request(&head).expect("the request is well formed");
     assert_eq!(caller_request.host, "h.example");
-    assert_eq!(caller_request.patience, Some(Duration::from_millis(1_500)));
+    assert_eq!(
+        caller_request.time_limit,
+        Some(Duration::from_millis(1_500))
+    );
     assert_eq!(caller_request.last_event, Some(12));
     let generation = caller_request
         .generation
