--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -15,12 +15,12 @@
 pub(crate) struct Cost {
     /// The prefill time of the prompt, during which the runner does nothing else, in
     /// milliseconds.
-    pub(crate) read_ms: f64,
+    pub(crate) prefill_ms: f64,
     /// The prefill time plus the request's share of the time that the runner spends on decoding
     /// all its streams, in milliseconds.
     pub(crate) busy_ms: f64,
     /// The duration of the stream from its first event to its end, in milliseconds.
-    pub(crate) stream_ms: f64,
+    pub(crate) stream_duration_ms: f64,
 }
 
 /// When and under which load a request was sent to a server.
@@ -119,13 +119,14 @@
 
     /// The estimated prefill time of the prompt.
     pub(crate) fn prefill_time(&self) -> Duration {
-        Duration::from_secs_f64(self.cost.read_ms / 1_000.0)
+        Duration::from_secs_f64(self.cost.prefill_ms / 1_000.0)
     }
 
     /// Until when the request may be held: early enough that the caller still waits and that the
     /// answer is complete before the deadline.
     pub(crate) fn hold_until(&self) -> Instant {
-        let answer = Duration::from_secs_f64(self.cost.stream_ms / 1_000.0) + self.prefill_time();
+        let answer =
+            Duration::from_secs_f64(self.cost.stream_duration_ms / 1_000.0) + self.prefill_time();
         let latest = self.deadline.checked_sub(answer).unwrap_or(self.arrived);
         self.timing().hold_limit().min(latest).max(self.arrived)
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -383,9 +383,9 @@
                 && !self.is_busy(server),
         });
         if call.request.generation.is_some() {
-            server.backlog.note(call.cost.read_ms, now);
+            server.backlog.note(call.cost.prefill_ms, now);
             let peers = &self.state.peers;
-            peers.report_prompt(&server.id, call.cost.read_ms, now);
+            peers.report_prompt(&server.id, call.cost.prefill_ms, now);
         }
     }
 
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -41,7 +41,7 @@
             is_far_late = self.candidate.is_remote_load_stale,
             is_connected = self.candidate.is_connected,
             prompts_wait_ms = self.candidate.queued_prefill_ms as u64,
-            read_ms = call.cost.read_ms as u64,
+            read_ms = call.cost.prefill_ms as u64,
             has_failed = self.candidate.has_failed,
             candidates = self.candidates,
             waited_ms = call.arrived.elapsed().as_millis() as u64,
@@ -164,7 +164,7 @@
                     self.queue.would_be_first(&weights, send_by, now)
                 }
             };
-            if !is_next || candidate.defers_prompt(call.cost.read_ms, max_pause_ms) {
+            if !is_next || candidate.defers_prompt(call.cost.prefill_ms, max_pause_ms) {
                 return Err(Obstacle::Prefilling(choice));
             }
         }
@@ -183,7 +183,7 @@
             .map(|it| it.with_entry(|entry| entry.slots))
             .sum();
         let capacity = f64::from(slots) * call.hold_time().as_secs_f64() * 1_000.0
-            / call.cost.stream_ms.max(1.0);
+            / call.cost.stream_duration_ms.max(1.0);
         let waiting = self.queue.count(&weights) * self.state.peers.vms();
         waiting as f64 > capacity
     }
--- a/src/gateway/speeds.rs
+++ b/src/gateway/speeds.rs
@@ -68,7 +68,7 @@
     }
 
     /// Estimates the prefill time of a prompt, in milliseconds.
-    pub(crate) fn read_ms(&self, model: &Model, prompt_tokens: u32) -> f64 {
+    pub(crate) fn prefill_ms(&self, model: &Model, prompt_tokens: u32) -> f64 {
         let mut fit = self.combined(model, |fits| &fits.first_event);
         let assumed = |tokens: f64| FIRST_EVENT_OVERHEAD_MS + tokens * PREFILL_MS_PER_TOKEN;
         fit.add_weighted_point(0.0, assumed(0.0), ASSUMED_WEIGHT);
@@ -82,7 +82,7 @@
     }
 
     /// Estimates the duration of a stream with the given token limit, in milliseconds.
-    pub(crate) fn stream_ms(&self, model: &Model, max_tokens: u32) -> f64 {
+    pub(crate) fn stream_duration_ms(&self, model: &Model, max_tokens: u32) -> f64 {
         let mut fit = self.combined(model, |fits| &fits.stream);
         let tokens = f64::from(max_tokens);
         let assumed_ms = tokens * GENERATE_MS_PER_TOKEN;
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -134,12 +134,12 @@
         let Some((engine, model)) = current.and_then(|it| it.model(&generation.model)) else {
             return Cost::default();
         };
-        let read_ms = self.speeds.read_ms(model, generation.prompt_tokens);
-        let stream_ms = self.speeds.stream_ms(model, generation.max_tokens);
+        let prefill_ms = self.speeds.prefill_ms(model, generation.prompt_tokens);
+        let stream_duration_ms = self.speeds.stream_duration_ms(model, generation.max_tokens);
         Cost {
-            read_ms,
-            busy_ms: read_ms + stream_ms / f64::from(engine.slots.max(1)),
-            stream_ms,
+            prefill_ms,
+            busy_ms: prefill_ms + stream_duration_ms / f64::from(engine.slots.max(1)),
+            stream_duration_ms,
         }
     }
 
--- a/src/gateway/tests/speeds.rs
+++ b/src/gateway/tests/speeds.rs
@@ -45,7 +45,10 @@
     let (slow, fast) = (model("slow", 72_700.0), model("fast", 65_100.0));
     record_first_events(&speeds, &slow, 0.049, 10, &mut random);
     record_first_events(&speeds, &fast, 0.0064, 10, &mut random);
-    let (slow, fast) = (speeds.read_ms(&slow, 1_000), speeds.read_ms(&fast, 1_000));
+    let (slow, fast) = (
+        speeds.prefill_ms(&slow, 1_000),
+        speeds.prefill_ms(&fast, 1_000),
+    );
     assert!((35.0..65.0).contains(&slow), "{slow}");
     assert!(fast < 16.0, "{fast}");
 }
@@ -55,9 +58,9 @@
     let mut random = SmallRng::seed_from_u64(2);
     let speeds = Speeds::default();
     record_first_events(&speeds, &model("known", 65_100.0), 0.0064, 30, &mut random);
-    let other = speeds.read_ms(&model("new", 65_100.0), 1_000);
+    let other = speeds.prefill_ms(&model("new", 65_100.0), 1_000);
     assert!(other < 18.0, "{other}");
-    let of_other_size = speeds.read_ms(&model("large", 72_700.0), 1_000);
+    let of_other_size = speeds.prefill_ms(&model("large", 72_700.0), 1_000);
     assert!((of_other_size - 40.0).abs() < 0.01, "{of_other_size}");
 }
 
@@ -73,8 +76,8 @@
             speeds.note_first_event(&known, 1_000, Duration::from_secs(20));
         }
     }
-    let read_ms = speeds.read_ms(&known, 1_000);
-    assert!((15.0..80.0).contains(&read_ms), "{read_ms}");
+    let prefill_ms = speeds.prefill_ms(&known, 1_000);
+    assert!((15.0..80.0).contains(&prefill_ms), "{prefill_ms}");
 }
 
 #[test]
@@ -85,7 +88,7 @@
         let took = Duration::from_millis(u64::from(tokens) * 11);
         speeds.note_stream(&known, tokens, took);
     }
-    let duration_ms = speeds.stream_ms(&known, 100);
+    let duration_ms = speeds.stream_duration_ms(&known, 100);
     assert!((900.0..1_200.0).contains(&duration_ms), "{duration_ms}");
 }
 
@@ -94,12 +97,12 @@
     let speeds = Speeds::default();
     let model = model("a", 72_700.0);
     let tokens = 950;
-    assert!(speeds.stream_ms(&model, tokens) > 5_000.0);
+    assert!(speeds.stream_duration_ms(&model, tokens) > 5_000.0);
     for _ in 0..3 {
         speeds.note_stream(&model, tokens, Duration::from_millis(1_400));
     }
-    let stream_ms = speeds.stream_ms(&model, tokens);
-    assert!(stream_ms < 1_900.0, "{stream_ms}");
+    let stream_duration_ms = speeds.stream_duration_ms(&model, tokens);
+    assert!(stream_duration_ms < 1_900.0, "{stream_duration_ms}");
 }
 
 proptest! {
@@ -114,9 +117,9 @@
             speeds.note_first_event(&known, tokens, took);
             speeds.note_stream(&known, tokens, took);
         }
-        let read_ms = speeds.read_ms(&known, 1_000);
-        prop_assert!((1.0..=500.0).contains(&read_ms), "{read_ms}");
-        let stream_ms = speeds.stream_ms(&known, 1_000);
-        prop_assert!((100.0..=100_000.0).contains(&stream_ms), "{stream_ms}");
+        let prefill_ms = speeds.prefill_ms(&known, 1_000);
+        prop_assert!((1.0..=500.0).contains(&prefill_ms), "{prefill_ms}");
+        let stream_duration_ms = speeds.stream_duration_ms(&known, 1_000);
+        prop_assert!((100.0..=100_000.0).contains(&stream_duration_ms), "{stream_duration_ms}");
     }
 }
