--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -204,7 +204,7 @@
     /// runner rejects the order if its own count differs.
     pub(crate) expected_orders: Option<u64>,
     /// The name of the leader, which sends the order.
-    pub(crate) holder: &'a str,
+    pub(crate) leader: &'a str,
     /// The leader's fence.
     pub(crate) fence: u64,
 }
@@ -255,7 +255,7 @@
     /// When the runner's process started, in Unix milliseconds.
     pub(crate) started_ms: u64,
     /// Adapters that are on their way to the runner and not loaded yet.
-    pub(crate) coming: Vec<Weights>,
+    pub(crate) loading_adapters: Vec<Weights>,
 }
 
 /// The control interface of model runners.
--- a/src/gateway/order_queue.rs
+++ b/src/gateway/order_queue.rs
@@ -186,7 +186,7 @@
             is_load,
             weights,
             expected_orders: Some(expected_orders),
-            holder: &self.state.settings.vm,
+            leader: &self.state.settings.vm,
             fence: *fence,
         };
         let outcome = self.runner_control.order(server.address, &order).await;
@@ -213,7 +213,9 @@
             let service = server.with_entry(|entry| entry.service.clone());
             configuration.services.get(&service)?.engine.as_ref()
         });
-        engine.is_some_and(|engine| engine.has_room(&report.holdings, &report.coming, weights))
+        engine.is_some_and(|engine| {
+            engine.has_room(&report.holdings, &report.loading_adapters, weights)
+        })
     }
 
     /// Counts an accepted order in the runner's report; a loaded adapter is held from then on.
--- a/src/gateway/runner_state.rs
+++ b/src/gateway/runner_state.rs
@@ -57,13 +57,13 @@
                 adapter: Some(adapter.clone()),
             })
         });
-        let coming = report.coming.iter();
-        let coming = coming.filter(|weights| !holds(&usable, weights));
+        let loading_adapters = report.loading_adapters.iter();
+        let loading_adapters = loading_adapters.filter(|weights| !holds(&usable, weights));
         let (in_memory, on_disk) =
             server.with_entry(|entry| (entry.in_memory.clone(), entry.on_disk.clone()));
         Some(RunnerView {
             id: server.id.clone(),
-            adapters: adapters.chain(coming.cloned()).collect(),
+            adapters: adapters.chain(loading_adapters.cloned()).collect(),
             models: usable.iter().map(|holding| holding.model.clone()).collect(),
             loading: self.loading.clone(),
             is_executing: self.is_executing || report.is_busy,
--- a/src/gateway/tests/order_dispatch.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -70,7 +70,7 @@
             is_busy: self.order_in_progress.is_some(),
             orders: self.orders,
             started_ms: 1,
-            coming: Vec::new(),
+            loading_adapters: Vec::new(),
         };
         self.history.push((at, report));
     }
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -77,7 +77,7 @@
         is_busy: wire.busy,
         orders: wire.sequence,
         started_ms: parse_start(wire.born)?,
-        coming: wire
+        loading_adapters: wire
             .coming
             .iter()
             .filter_map(|it| loading_adapter(it))
@@ -145,7 +145,7 @@
             model: &order.weights.model,
             adapter: order.weights.adapter.as_deref(),
             precondition: order.expected_orders,
-            holder: order.holder,
+            holder: order.leader,
             fence_token: order.fence,
         };
         let body = serde_json::to_vec(&wire).expect("an order serializes");
