--- a/src/gateway/directory_updates.rs
+++ b/src/gateway/directory_updates.rs
@@ -37,7 +37,7 @@
     pub(super) parts: u32,
     /// Whether entries may have lapsed only because the log was unavailable.
     #[prost(bool, tag = "5")]
-    pub(super) is_shaken: bool,
+    pub(super) was_log_unavailable: bool,
     #[prost(message, repeated, tag = "6")]
     pub(super) changes: Vec<ServerUpdate>,
 }
@@ -142,7 +142,7 @@
     changes: &[ServerChange],
     from: u64,
     next: u64,
-    is_shaken: bool,
+    was_log_unavailable: bool,
 ) -> Option<Vec<DirectoryUpdate>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
@@ -165,7 +165,7 @@
         next,
         part: part as u32,
         parts: count as u32,
-        is_shaken,
+        was_log_unavailable,
         changes,
     });
     Some(messages.collect())
@@ -182,7 +182,7 @@
 impl Assembly {
     /// Adds a part. Once all parts are there, returns the changes if a reader that has read up to
     /// offset `end` can apply them: `end` has to lie within the range of the update.
-    pub(super) fn take(
+    pub(super) fn add_part(
         &mut self,
         update: DirectoryUpdate,
         end: Option<u64>,
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -311,7 +311,7 @@
     ///
     /// A server that restarted under its id replaces the previous run, and none of that run's
     /// holdings are kept. Entries that are older than the current one are ignored.
-    pub(crate) fn take(&self, entry: Entry) -> EntryChange {
+    pub(crate) fn apply_entry(&self, entry: Entry) -> EntryChange {
         let mut servers = self.servers.borrow_mut();
         let last_started_ms = self.ended_runs.borrow_mut().remove(&entry.id);
         if let Some(last) = last_started_ms.filter(|last| *last > entry.started_ms) {
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -101,7 +101,7 @@
                 UpdateScope::Holdings => targets.remote_rounds() == 1,
                 UpdateScope::Zone | UpdateScope::Leader | UpdateScope::None => false,
             };
-            self.send_directory_updates(&targets.near).await;
+            self.send_directory_updates(&targets.local).await;
             if now >= next_round || is_all {
                 next_round = now + INTERVAL;
                 // All VMs watch for the leader's messages, so the leader sends to all in each
@@ -113,7 +113,7 @@
                     self.probe().await;
                 }
             } else if urgency == UpdateScope::Zone {
-                self.send_to(&self.digest(), &targets.near).await;
+                self.send_to(&self.digest(), &targets.local).await;
             } else if urgency == UpdateScope::Leader {
                 self.send_demand().await;
             }
@@ -157,7 +157,7 @@
         // The rest of the zone relies on the VM that follows the log, so it sends to all of them.
         let is_to_zone = is_to_all || digest.followed_log.is_some();
         let local_targets = match is_to_zone {
-            true => targets.near.clone(),
+            true => targets.local.clone(),
             false => targets.local_part(round),
         };
         self.send_to(&local_digest, &local_targets).await;
@@ -168,12 +168,12 @@
         )
         .await;
         for message in &holdings {
-            self.send_to(message, &targets.near).await;
+            self.send_to(message, &targets.local).await;
         }
         self.send_demand().await;
         let mut remote_targets: Vec<SocketAddr> = Vec::new();
         match is_to_all {
-            true => remote_targets.extend(targets.far.values().flatten()),
+            true => remote_targets.extend(targets.remote.values().flatten()),
             false => remote_targets.extend(targets.remote_part(round).flat_map(|(_, part)| part)),
         }
         let remote_rounds = targets.remote_rounds();
@@ -328,12 +328,12 @@
                 prompts,
                 ..Digest::default()
             };
-            self.send_to(&message, &targets.near).await;
-            let mut receivers = targets.near.len();
+            self.send_to(&message, &targets.local).await;
+            let mut receivers = targets.local.len();
             // If a message to each VM of the other zones takes several rounds, prompts would arrive
             // too late.
             if targets.remote_rounds() == 1 {
-                for vms in targets.far.values() {
+                for vms in targets.remote.values() {
                     self.send_to(&message, vms).await;
                     receivers += vms.len();
                 }
--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -71,7 +71,7 @@
         }
         self.state.peers.merge_sightings(&digest, now);
         if !digest.is_partial {
-            self.state.peers.take(sender, &digest, now);
+            self.state.peers.apply_digest(sender, &digest, now);
         }
         digest.requests_view
     }
@@ -91,7 +91,7 @@
     }
 
     fn apply_prompts(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
-        self.state.peers.take_prompts(sender, &digest.prompts);
+        self.state.peers.apply_prompts(sender, &digest.prompts);
         for prompt in &digest.prompts {
             if let Some(server) = self.state.fleet.server(&prompt.server) {
                 let prefill_ms = f64::from(prompt.prefill_us) / MICROS_PER_MILLI;
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -86,7 +86,7 @@
             sums.collect(),
             round,
             message_interval,
-            targets.near.len(),
+            targets.local.len(),
             Instant::now(),
         );
         ZoneLoadSums::of(part.into_iter())
@@ -181,10 +181,10 @@
         };
         let readings = self.state.following.readings()?;
         Some(FollowedLog {
-            directory_changed_to: readings.directory.news,
+            directory_changed_to: readings.directory.last_change,
             directory_end: readings.directory_end,
             directory_age_ms: age_ms(readings.directory),
-            configuration_changed_to: readings.configuration.news,
+            configuration_changed_to: readings.configuration.last_change,
             configuration_age_ms: age_ms(readings.configuration),
         })
     }
--- a/src/gateway/gossip_targets.rs
+++ b/src/gateway/gossip_targets.rs
@@ -24,15 +24,15 @@
 #[derive(Debug, Default)]
 pub(super) struct Targets {
     /// The addresses of the VMs in remote zones, by zone.
-    pub(super) far: BTreeMap<Name, Vec<SocketAddr>>,
+    pub(super) remote: BTreeMap<Name, Vec<SocketAddr>>,
     /// The addresses of the VMs in the local zone, and of those whose zone is not known yet.
-    pub(super) near: Vec<SocketAddr>,
+    pub(super) local: Vec<SocketAddr>,
 }
 
 impl Targets {
     /// The number of VMs in remote zones.
     fn remote_count(&self) -> usize {
-        self.far.values().map(Vec::len).sum()
+        self.remote.values().map(Vec::len).sum()
     }
 
     /// The number of rounds in which every VM in a remote zone is sent to once.
@@ -42,20 +42,20 @@
 
     /// The number of rounds in which every VM in the local zone is sent to once.
     pub(super) fn local_rounds(&self) -> usize {
-        self.near.len().div_ceil(MAX_LOCAL_MESSAGES).max(1)
+        self.local.len().div_ceil(MAX_LOCAL_MESSAGES).max(1)
     }
 
     /// The number of VMs that a message to the local zone lists.
     pub(super) fn vms_per_message(&self) -> usize {
-        let vms = self.remote_count() + self.near.len();
-        let received = self.near.len() / self.local_rounds();
+        let vms = self.remote_count() + self.local.len();
+        let received = self.local.len() / self.local_rounds();
         let listed = (vms * MENTIONS_PER_ROUND).div_ceil(received.max(1));
         listed.min(MAX_VMS_PER_MESSAGE)
     }
 
     /// The VMs of the local zone that are sent to in this `round`.
     pub(super) fn local_part(&self, round: usize) -> Vec<SocketAddr> {
-        part(&self.near, round, self.local_rounds())
+        part(&self.local, round, self.local_rounds())
     }
 
     /// The VMs of each remote zone that are sent to in this `round`. Every VM is sent to once in
@@ -66,7 +66,7 @@
         round: usize,
     ) -> impl Iterator<Item = (&Name, Vec<SocketAddr>)> {
         let parts = self.remote_rounds();
-        let zones = self.far.iter();
+        let zones = self.remote.iter();
         zones.map(move |(zone, vms)| (zone, part(vms, round, parts)))
     }
 }
--- a/src/gateway/log_follower.rs
+++ b/src/gateway/log_follower.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Reading {
     /// Offset just past the last change that other VMs must learn of at once.
-    pub(crate) news: u64,
+    pub(crate) last_change: u64,
     /// Time of the read.
     pub(crate) at: Instant,
 }
@@ -41,8 +41,8 @@
 pub(crate) struct Readings {
     /// Last read of the directory of backend servers.
     pub(crate) directory: Reading,
-    /// Offset up to which the directory was read. No record between `directory.news` and this
-    /// offset matters to other VMs.
+    /// Offset up to which the directory was read. No record between `directory.last_change` and
+    /// this offset matters to other VMs.
     pub(crate) directory_end: u64,
     /// Last read of the configuration.
     pub(crate) configuration: Reading,
@@ -77,13 +77,13 @@
         self.directory_end.set(Some(next));
         self.sent_to.set(None);
         if let Some(mut reading) = self.directory.get() {
-            reading.news = reading.news.max(next);
+            reading.last_change = reading.last_change.max(next);
             self.directory.set(Some(reading));
         }
     }
 
     /// Whether the log failed recently, so that entries may lapse although their servers are alive.
-    pub(crate) fn is_shaken(&self, now: Instant) -> bool {
+    pub(crate) fn was_recently_disrupted(&self, now: Instant) -> bool {
         let disrupted_at = self.disrupted_at.get();
         disrupted_at.is_some_and(|at| now.saturating_duration_since(at) < DISRUPTED_FOR)
     }
--- a/src/gateway/peer.rs
+++ b/src/gateway/peer.rs
@@ -90,8 +90,8 @@
 
 /// Decodes the log positions of a message; its ages become points in time before `now`.
 fn read_followed_log(followed_log: FollowedLog, now: Instant) -> Readings {
-    let reading = |news, age_ms| Reading {
-        news,
+    let reading = |last_change, age_ms| Reading {
+        last_change,
         at: now
             .checked_sub(Duration::from_millis(u64::from(age_ms)))
             .unwrap_or(now),
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -313,7 +313,7 @@
 
     /// Adds requests that a peer has just sent to its load, until it reports its full load again.
     /// Reports of unknown peers are ignored.
-    pub(super) fn take_prompts(&self, from: SocketAddr, prompts: &[SentPrompt]) {
+    pub(super) fn apply_prompts(&self, from: SocketAddr, prompts: &[SentPrompt]) {
         let mut peer_states = self.peer_states.borrow_mut();
         let Some(peer) = peer_states.get_mut(&from) else {
             return;
@@ -356,7 +356,7 @@
 
     /// Applies a digest: the state of its sender replaces the earlier one. A sender that is leaving
     /// is removed.
-    pub(super) fn take(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
+    pub(super) fn apply_digest(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
         let mut peer_states = self.peer_states.borrow_mut();
         let was_leader = peer_states.get(&sender).is_some_and(|peer| peer.fence > 0);
         if digest.fence > 0 {
@@ -443,14 +443,14 @@
         let members = self.members.borrow();
         let unknown = members.iter().filter(|it| view.get(it).is_none());
         let mut targets = Targets {
-            near: unknown.copied().collect(),
+            local: unknown.copied().collect(),
             ..Targets::default()
         };
         for vm in view.all() {
             if vm.availability_zone == *zone {
-                targets.near.push(vm.address);
+                targets.local.push(vm.address);
             } else {
-                let of_zone = targets.far.entry(vm.availability_zone.clone());
+                let of_zone = targets.remote.entry(vm.availability_zone.clone());
                 of_zone.or_default().push(vm.address);
             }
         }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -41,7 +41,7 @@
 pub(crate) struct Relay<P> {
     pub(crate) state: Rc<State>,
     pub(crate) pool: ConnectionPool,
-    pub(crate) queue: Rc<WaitQueues>,
+    pub(crate) wait_queues: Rc<WaitQueues>,
     budget: RetryBudget,
     protocol: PhantomData<P>,
 }
@@ -57,7 +57,7 @@
         });
         Self {
             pool: ConnectionPool::new(state.metrics.connections_opened.clone()),
-            queue: Rc::default(),
+            wait_queues: Rc::default(),
             state,
             budget,
             protocol: PhantomData,
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -105,13 +105,13 @@
     /// for the model to be loaded.
     pub(crate) async fn server_for(&self, call: &Call) -> Result<Rc<Server>, Failure> {
         let mut waiting = None;
-        let mut position = None;
+        let mut queued = None;
         loop {
             let changed = self.state.changed.wait();
-            let obstacle = match self.try_select(call, position.as_ref()) {
+            let obstacle = match self.try_select(call, queued.as_ref()) {
                 Ok(server) => {
                     let waited = call.arrived.elapsed();
-                    if position.is_some() {
+                    if queued.is_some() {
                         self.state.metrics.slot_wait.observe(waited.as_secs_f64());
                     }
                     return Ok(server);
@@ -127,7 +127,7 @@
             }
             if let Some(weights) = call.weights() {
                 let send_by = call.timing().send_by(call.prefill_time());
-                position.get_or_insert_with(|| self.queue.enqueue(&weights, send_by));
+                queued.get_or_insert_with(|| self.wait_queues.enqueue(&weights, send_by));
                 if matches!(obstacle, Obstacle::NoServer) {
                     waiting.get_or_insert_with(|| self.state.count_waiting(&weights));
                 }
@@ -145,7 +145,7 @@
     fn try_select(
         &self,
         call: &Call,
-        position: Option<&QueuedRequest>,
+        queued: Option<&QueuedRequest>,
     ) -> Result<Rc<Server>, Obstacle> {
         let choice = self.pick(call).ok_or(Obstacle::NoServer)?;
         let candidate = &choice.candidate;
@@ -157,11 +157,11 @@
             }
             let max_pause_ms = call.route.max_pause_ms as f64;
             let now = Instant::now();
-            let is_next = match position {
-                Some(position) => position.is_next(now),
+            let is_next = match queued {
+                Some(queued) => queued.is_next(now),
                 None => {
                     let send_by = call.timing().send_by(call.prefill_time());
-                    self.queue.would_be_first(&weights, send_by, now)
+                    self.wait_queues.would_be_first(&weights, send_by, now)
                 }
             };
             if !is_next || candidate.defers_prompt(call.cost.prefill_ms, max_pause_ms) {
@@ -184,7 +184,7 @@
             .sum();
         let capacity = f64::from(slots) * call.hold_time().as_secs_f64() * 1_000.0
             / call.cost.stream_duration_ms.max(1.0);
-        let waiting = self.queue.count(&weights) * self.state.peers.vms();
+        let waiting = self.wait_queues.count(&weights) * self.state.peers.vms();
         waiting as f64 > capacity
     }
 
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -173,14 +173,19 @@
             .into_iter()
             .map(|(_, readings)| readings)
             .filter(|readings| readings.is_fresh(now))
-            .max_by_key(|readings| (readings.configuration.news, readings.directory.news))
+            .max_by_key(|readings| {
+                (
+                    readings.configuration.last_change,
+                    readings.directory.last_change,
+                )
+            })
     }
 
     /// Applies a directory update sent by the VM that follows the directory for this one.
     pub(super) fn apply_directory_update(&self, update: DirectoryUpdate, now: Instant) {
-        let was_log_unavailable = update.is_shaken;
+        let was_log_unavailable = update.was_log_unavailable;
         let end = self.following.directory_end.get();
-        let changes = self.assembly.borrow_mut().take(update, end);
+        let changes = self.assembly.borrow_mut().add_part(update, end);
         let Some(changes) = changes else {
             return;
         };
@@ -211,7 +216,7 @@
         for change in changes.items {
             match change {
                 ServerChange::Upserted(entry) => {
-                    let entry_change = self.fleet.take(entry.clone());
+                    let entry_change = self.fleet.apply_entry(entry.clone());
                     if entry_change == EntryChange::AvailabilityChanged {
                         has_availability_change = true;
                         info!(server = %entry.id, state = ?entry.state, "server listed");
@@ -238,7 +243,7 @@
     /// log was recently unavailable, since entries may then expire although their servers still
     /// run.
     pub(super) fn purge_removed(&self, now: Instant) {
-        let was_log_unavailable = self.following.is_shaken(now);
+        let was_log_unavailable = self.following.was_recently_disrupted(now);
         let grace = if was_log_unavailable {
             REMOVAL_GRACE
         } else {
--- a/src/gateway/tests/decisions.rs
+++ b/src/gateway/tests/decisions.rs
@@ -251,7 +251,7 @@
     let now = Instant::now();
     let limit = Duration::from_secs(2);
     assert_eq!(
-        fleet.take(entry("i", ServerState::Ready)),
+        fleet.apply_entry(entry("i", ServerState::Ready)),
         EntryChange::AvailabilityChanged
     );
     let server = fleet.server("i").expect("the entry was just added");
@@ -262,7 +262,7 @@
             .purge_removed(limit, now + Duration::from_secs(1))
             .is_empty()
     );
-    fleet.take(entry("i", ServerState::Ready));
+    fleet.apply_entry(entry("i", ServerState::Ready));
     assert!(server.is_listed_ready());
     fleet.mark_removed("i", now);
     let gone = fleet.purge_removed(limit, now + Duration::from_secs(3));
@@ -274,7 +274,7 @@
 fn weights_reported_missing_are_not_requested_from_a_server_for_a_while() {
     let fleet = Fleet::default();
     let now = Instant::now();
-    fleet.take(entry("i", ServerState::Ready));
+    fleet.apply_entry(entry("i", ServerState::Ready));
     let server = fleet.server("i").expect("the entry was just added");
     let adapter = Weights {
         model: "m".into(),
@@ -343,7 +343,7 @@
 fn a_restarted_server_keeps_no_state_of_its_previous_run() {
     let fleet = Fleet::default();
     let now = Instant::now();
-    fleet.take(entry("i", ServerState::Ready));
+    fleet.apply_entry(entry("i", ServerState::Ready));
     let before = fleet.server("i").expect("the entry was just added");
     let leader_view = [Holding {
         model: "m".into(),
@@ -359,7 +359,7 @@
         ..entry("i", ServerState::Ready)
     };
     assert_eq!(
-        fleet.take(restarted),
+        fleet.apply_entry(restarted),
         EntryChange::AvailabilityChanged,
         "a restarted server is a new one"
     );
@@ -383,7 +383,7 @@
         sequence: 7,
         ..entry("i", ServerState::Draining)
     };
-    fleet.take(draining.clone());
+    fleet.apply_entry(draining.clone());
     // A delayed entry of the same run, and one of the previous run with a higher sequence number.
     for (started_ms, sequence) in [(2_000, 6), (1_000, 90)] {
         let outdated = Entry {
@@ -391,15 +391,15 @@
             sequence,
             ..entry("i", ServerState::Ready)
         };
-        assert_eq!(fleet.take(outdated), EntryChange::Renewed);
+        assert_eq!(fleet.apply_entry(outdated), EntryChange::Renewed);
         let server = fleet.server("i").expect("the server is listed");
         assert!(!server.is_listed_ready());
     }
     fleet.mark_removed("i", now);
     fleet.purge_removed(Duration::ZERO, now);
     // The same holds after the server has been removed.
-    fleet.take(entry("i", ServerState::Ready));
+    fleet.apply_entry(entry("i", ServerState::Ready));
     assert!(fleet.server("i").is_none());
-    fleet.take(draining);
+    fleet.apply_entry(draining);
     assert!(fleet.server("i").is_some());
 }
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -52,7 +52,7 @@
     let mut assembly = Assembly::default();
     let mut whole = None;
     for message in messages {
-        whole = whole.or(assembly.take(message, end));
+        whole = whole.or(assembly.add_part(message, end));
     }
     whole.map(|changes| (changes.items.len(), changes.next))
 }
@@ -67,7 +67,7 @@
     let mut assembly = Assembly::default();
     let whole = messages
         .into_iter()
-        .find_map(|it| assembly.take(it, Some(50)));
+        .find_map(|it| assembly.add_part(it, Some(50)));
     let items = whole.expect("all parts are there").items;
     assert_eq!(format!("{items:?}"), format!("{:?}", changes(12)));
 }
--- a/src/gateway/tests/gossip_sender.rs
+++ b/src/gateway/tests/gossip_sender.rs
@@ -48,7 +48,7 @@
 #[test]
 fn the_order_of_models_and_adapters_does_not_matter() {
     let fleet = Fleet::default();
-    fleet.take(Entry {
+    fleet.apply_entry(Entry {
         id: "i".into(),
         started_ms: 1,
         sequence: 1,
--- a/src/gateway/tests/loads.rs
+++ b/src/gateway/tests/loads.rs
@@ -95,7 +95,7 @@
     fn deliver(&self, digest: &Digest, from: SocketAddr, targets: &[SocketAddr]) {
         for target in targets {
             let vm = &self.vms[index(*target)];
-            vm.peers.take(from, digest, self.now);
+            vm.peers.apply_digest(from, digest, self.now);
         }
     }
 
@@ -164,7 +164,7 @@
             (short_id(&server), own + others)
         });
         let message_interval = INTERVAL * targets.remote_rounds() as u32;
-        let vms = targets.near.len();
+        let vms = targets.local.len();
         let part = self
             .sampler
             .part(sums.collect(), self.round, message_interval, vms, now);
@@ -243,18 +243,18 @@
         server: server(0).to_string(),
         prefill_us: 10_000,
     }];
-    peers.take_prompts(address(2), &prompts);
+    peers.apply_prompts(address(2), &prompts);
     assert_eq!(peers.in_flight(&server(0)), 0, "the sender is not known");
     let digest = Digest {
         availability_zone: "z1".to_owned(),
         loads: loads_of(&[3]),
         ..Digest::default()
     };
-    peers.take(address(2), &digest, now);
-    peers.take_prompts(address(2), &prompts);
+    peers.apply_digest(address(2), &digest, now);
+    peers.apply_prompts(address(2), &prompts);
     assert_eq!(peers.in_flight(&server(0)), 4);
     assert_eq!(peers.zone_in_flight(&"z1".into())[&server(0)], 4);
-    peers.take(address(2), &digest, now);
+    peers.apply_digest(address(2), &digest, now);
     assert_eq!(
         peers.in_flight(&server(0)),
         3,
@@ -271,7 +271,7 @@
         loads: loads_of(&[3]),
         ..Digest::default()
     };
-    peers.take(address(2), &single, now);
+    peers.apply_digest(address(2), &single, now);
     assert_eq!(peers.in_flight(&server(0)), 3);
     let sums = [(short_id(&server(0)), 5)];
     let of_zone = Digest {
@@ -279,7 +279,7 @@
         zone_loads: Some(ZoneLoadSums::of(sums.into_iter())),
         ..Digest::default()
     };
-    peers.take(address(3), &of_zone, now);
+    peers.apply_digest(address(3), &of_zone, now);
     assert_eq!(peers.in_flight(&server(0)), 5);
     // The load by model, which plans use, still comes from the report of the single VM.
     assert_eq!(peers.in_flight_for(&server(0), &"m".into()), 3);
--- a/src/gateway/tests/log_follower.rs
+++ b/src/gateway/tests/log_follower.rs
@@ -12,7 +12,7 @@
 }
 
 fn readings(at: Instant) -> Readings {
-    let reading = Reading { news: 7, at };
+    let reading = Reading { last_change: 7, at };
     Readings {
         directory: reading,
         directory_end: 9,
@@ -57,7 +57,7 @@
     for (remote_vms, max_per_s) in [(4, 20.0), (12, 60.0), (50, 60.0), (273, 60.0)] {
         let mut targets = Targets::default();
         for index in 0..remote_vms {
-            let vms = targets.far.entry(format!("z{}", index % 4).into());
+            let vms = targets.remote.entry(format!("z{}", index % 4).into());
             vms.or_default().push(vm(index as u8));
         }
         let rounds = targets.remote_rounds();
--- a/src/gateway/tests/quota_ways.rs
+++ b/src/gateway/tests/quota_ways.rs
@@ -98,9 +98,9 @@
             let mut targets = Targets::default();
             for other in (0..scenario.vms).filter(|other| *other != vm) {
                 if zone(other) == zone(vm) {
-                    targets.near.push(address(other));
+                    targets.local.push(address(other));
                 } else {
-                    let of_zone = targets.far.entry(zone_name(other)).or_default();
+                    let of_zone = targets.remote.entry(zone_name(other)).or_default();
                     of_zone.push(address(other));
                 }
             }
@@ -127,11 +127,11 @@
         let zone_report = ledger.zone_report(now);
         ledger.prune_expired(now);
         let targets = &self.targets[vm];
-        let near = targets.local_part(round).into_iter();
-        let near = near.map(|to| (to, (vm_report.clone(), true)));
-        let far = targets.remote_part(round).flat_map(|(_, vms)| vms);
-        let far = far.map(|to| (to, (zone_report.clone(), false)));
-        let messages = near.chain(far);
+        let local = targets.local_part(round).into_iter();
+        let local = local.map(|to| (to, (vm_report.clone(), true)));
+        let remote = targets.remote_part(round).flat_map(|(_, vms)| vms);
+        let remote = remote.map(|to| (to, (zone_report.clone(), false)));
+        let messages = local.chain(remote);
         let bytes = |report: &UsageReport| 6 + 25 * report.usages.len();
         messages
             .map(|(to, message)| {
--- a/src/gateway/tests/views.rs
+++ b/src/gateway/tests/views.rs
@@ -95,7 +95,7 @@
         let sender = self.vms[from].address;
         self.vms[to].peers.merge_sightings(digest, self.now);
         if !digest.is_partial {
-            self.vms[to].peers.take(sender, digest, self.now);
+            self.vms[to].peers.apply_digest(sender, digest, self.now);
         }
         if digest.requests_view {
             let all = Digest {
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -76,7 +76,7 @@
                     failures = 0;
                     next = Some(changes.next);
                     let reading = Reading {
-                        news: changes.next,
+                        last_change: changes.next,
                         at: Instant::now(),
                     };
                     let following = &self.state.following;
@@ -84,12 +84,14 @@
                     for configuration in changes.items {
                         self.state.apply_configuration(configuration);
                     }
-                    let is_change = before.is_some_and(|before| before.news < reading.news);
+                    let is_change =
+                        before.is_some_and(|before| before.last_change < reading.last_change);
                     if is_change && self.state.follows_closely(reading.at) {
                         self.state.peers.trigger_update(UpdateScope::Zone);
                     }
-                    let has_update =
-                        |advertised: Readings| advertised.configuration.news > reading.news;
+                    let has_update = |advertised: Readings| {
+                        advertised.configuration.last_change > reading.last_change
+                    };
                     self.wait_for_next_read(read_at, CONFIGURATION_INTERVAL, has_update)
                         .await;
                 }
@@ -150,7 +152,7 @@
         let following = &self.state.following;
         let has_update = |advertised: Readings| {
             let end = following.directory_end.get();
-            let has_missed = end.is_none_or(|end| advertised.directory.news > end);
+            let has_missed = end.is_none_or(|end| advertised.directory.last_change > end);
             if !has_missed {
                 // No change that matters precedes the offset up to which the other VM has read.
                 following
@@ -197,11 +199,14 @@
         let following = &self.state.following;
         following.directory_end.set(Some(next));
         let before = following.directory.get();
-        let news = match before {
-            Some(before) if relevant.is_empty() => before.news,
+        let last_change = match before {
+            Some(before) if relevant.is_empty() => before.last_change,
             _ => next,
         };
-        following.directory.set(Some(Reading { news, at: now }));
+        following.directory.set(Some(Reading {
+            last_change,
+            at: now,
+        }));
         if !self.state.follows_closely(now) {
             following.sent_to.set(None);
             return;
@@ -212,8 +217,9 @@
             return;
         }
         following.sent_to.set(Some(next));
-        let is_shaken = following.is_shaken(now);
-        let messages = sent_to.and_then(|from| update_messages(&relevant, from, next, is_shaken));
+        let was_log_unavailable = following.was_recently_disrupted(now);
+        let messages =
+            sent_to.and_then(|from| update_messages(&relevant, from, next, was_log_unavailable));
         info!(
             changes = relevant.len(),
             has_news,
