--- a/src/callers/ledger.rs
+++ b/src/callers/ledger.rs
@@ -209,17 +209,17 @@
         let peers = self.local_vms.values().chain(self.remote_zones.values());
         let fresh = peers.filter(|peer| peer.is_fresh(now));
         let own = (1.0, self.vm_coverage(now));
-        let (vms, remembering_vms) = fresh.fold(own, |(vms, remembering_vms), peer| {
+        let (vms, recorded_vms) = fresh.fold(own, |(vms, recorded_vms), peer| {
             let vms = vms + f64::from(peer.vms);
-            (vms, remembering_vms + peer.remembering_vms)
+            (vms, recorded_vms + peer.recorded_vms)
         });
-        (vms, remembering_vms / vms)
+        (vms, recorded_vms / vms)
     }
 
     /// Returns the report on this VM's grants, for the VMs of its zone.
     pub(crate) fn vm_report(&mut self, now: Instant) -> UsageReport {
         let window = self.bounds.window;
-        let remembering_vms = self.vm_coverage(now);
+        let recorded_vms = self.vm_coverage(now);
         let accounts = self.accounts.iter_mut();
         let reported = accounts.filter(|(_, account)| {
             let age = now.saturating_duration_since(account.last_request_at);
@@ -228,7 +228,7 @@
         let usages = reported.map(|(name, it)| (short_id(name), it.history.usage(window, now)));
         UsageReport {
             vms: 1,
-            remembering_vms,
+            recorded_vms,
             usages: usages.collect(),
         }
     }
@@ -238,8 +238,8 @@
         let own = self.vm_report(now);
         let fresh = || self.local_vms.values().filter(|peer| peer.is_fresh(now));
         let vms = own.vms + fresh().map(|peer| peer.vms).sum::<u32>();
-        let reported = fresh().map(|peer| peer.remembering_vms).sum::<f64>();
-        let remembering_vms = own.remembering_vms + reported;
+        let reported = fresh().map(|peer| peer.recorded_vms).sum::<f64>();
+        let recorded_vms = own.recorded_vms + reported;
         let mut usages: HashMap<u32, Usage> = own.usages.into_iter().collect();
         let window = self.bounds.window;
         for peer in self.local_vms.values() {
@@ -251,7 +251,7 @@
         }
         UsageReport {
             vms,
-            remembering_vms,
+            recorded_vms,
             usages: usages.into_iter().collect(),
         }
     }
--- a/src/callers/mod.rs
+++ b/src/callers/mod.rs
@@ -5,19 +5,19 @@
 mod key;
 mod ledger;
 mod organisation;
+mod organisation_index;
 mod peer_usage;
 mod quota;
 mod quota_estimate;
-mod register;
-mod tally;
 #[cfg(test)]
 mod tests;
 mod usage;
+mod usage_report;
 
 pub(crate) use key::ApiKey;
 pub(crate) use ledger::{GrantRecord, Ledger, OverQuota};
 pub(crate) use organisation::Organisation;
+pub(crate) use organisation_index::ApiKeyIndex;
 pub(crate) use quota::{Measure, Quota, QuotaBounds};
-pub(crate) use register::ApiKeyIndex;
-pub(crate) use tally::UsageReport;
 pub(crate) use usage::{SPAN_COUNT, Usage};
+pub(crate) use usage_report::UsageReport;
--- a/src/callers/peer_usage.rs
+++ b/src/callers/peer_usage.rs
@@ -19,7 +19,7 @@
     /// The time for which a figure counts in full.
     fresh_for: Duration,
     pub(super) vms: u32,
-    pub(super) remembering_vms: f64,
+    pub(super) recorded_vms: f64,
     pub(super) usages: HashMap<u32, (Usage, Instant)>,
 }
 
@@ -53,7 +53,7 @@
             received_at: now,
             fresh_for: MIN_FRESH,
             vms: 0,
-            remembering_vms: 0.0,
+            recorded_vms: 0.0,
             usages: HashMap::new(),
         }
     }
@@ -63,7 +63,7 @@
         self.received_at = now;
         self.fresh_for = MIN_FRESH.max(next_in.mul_f64(FRESH_REPORTS));
         self.vms = report.vms;
-        self.remembering_vms = report.remembering_vms;
+        self.recorded_vms = report.recorded_vms;
         let figures = report.usages.into_iter();
         self.usages
             .extend(figures.map(|(id, usage)| (id, (usage, now))));
--- a/src/callers/quota_estimate.rs
+++ b/src/callers/quota_estimate.rs
@@ -42,7 +42,7 @@
 
     /// Returns the amount requested per second.
     pub(super) fn requested_per_s(&self) -> f64 {
-        self.usage.asked / REQUESTED_SPAN.as_secs_f64()
+        self.usage.requested / REQUESTED_SPAN.as_secs_f64()
     }
 
     /// Returns the margin of the VMs that report, in proportion to the share of the window for
--- a/src/callers/usage.rs
+++ b/src/callers/usage.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Usage {
     /// The amount requested within [`REQUESTED_SPAN`], granted or not.
-    pub(crate) asked: f64,
+    pub(crate) requested: f64,
     /// The amount granted within each of the [`spans`].
     pub(crate) granted: [f64; SPAN_COUNT],
 }
@@ -30,7 +30,7 @@
 impl Usage {
     /// Adds another usage, multiplied by `part`.
     pub(crate) fn add(&mut self, other: &Self, part: f64) {
-        self.asked += other.asked * part;
+        self.requested += other.requested * part;
         for (sum, granted) in self.granted.iter_mut().zip(other.granted) {
             *sum += granted * part;
         }
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Bin {
     started_at: Instant,
-    asked: f64,
+    requested: f64,
     granted: f64,
 }
 
@@ -53,7 +53,7 @@
 impl UsageHistory {
     /// Records a requested amount.
     pub(crate) fn record_request(&mut self, amount: f64, now: Instant) {
-        self.bin(now).asked += amount;
+        self.bin(now).requested += amount;
     }
 
     /// Records a granted amount.
@@ -81,7 +81,7 @@
         if !self.bins.back().is_some_and(is_same) {
             self.bins.push_back(Bin {
                 started_at: now,
-                asked: 0.0,
+                requested: 0.0,
                 granted: 0.0,
             });
         }
@@ -105,7 +105,7 @@
         let spans = spans(window);
         for bin in &self.bins {
             if age(bin) <= REQUESTED_SPAN {
-                usage.asked += bin.asked;
+                usage.requested += bin.requested;
             }
             for (sum, span) in usage.granted.iter_mut().zip(spans) {
                 if age(bin) <= span + BIN_LENGTH {
--- a/src/callers/tally.rs
+++ b/src/callers/usage_report.rs
@@ -9,7 +9,7 @@
     pub(crate) vms: u32,
     /// The number of these VMs that have grants recorded for the whole quota window. A VM that
     /// started within the window counts as a fraction.
-    pub(crate) remembering_vms: f64,
+    pub(crate) recorded_vms: f64,
     /// The usage of each organisation, by the `short_id` of its name.
     pub(crate) usages: Vec<(u32, Usage)>,
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -5,7 +5,7 @@
 //! is too low only until the runner has prefilled that prompt.
 
 use crate::gateway::fleet::Incarnation;
-use crate::gateway::gossip_message::{Digest, TallyPart, zones_of};
+use crate::gateway::gossip_message::{Digest, UsageReportPart, zones_of};
 use crate::gateway::gossip_sender::AdvertisedHoldings;
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::peers::UpdateScope;
@@ -147,11 +147,11 @@
         let round = self.round.get();
         self.round.set(round.wrapping_add(1));
         let next_in = INTERVAL * targets.local_rounds() as u32;
-        let own_tallies = self.tallies(|ledger| ledger.vm_report(now));
+        let own_reports = self.usage_reports(|ledger| ledger.vm_report(now));
         let local_digest = Digest {
             vms: zones_of(&sample, now),
             next_in_ms: next_in.as_millis() as u32,
-            tally: own_tallies.first().cloned(),
+            usage_report: own_reports.first().cloned(),
             ..digest.clone()
         };
         // The rest of the zone relies on the VM that follows the log, so it sends to all of them.
@@ -161,8 +161,8 @@
             false => targets.local_part(round),
         };
         self.send_to(&local_digest, &local_targets).await;
-        self.send_tallies(
-            own_tallies.get(1..).unwrap_or_default(),
+        self.send_usage_reports(
+            own_reports.get(1..).unwrap_or_default(),
             next_in,
             &local_targets,
         )
@@ -192,27 +192,32 @@
             .await;
     }
 
-    /// Sends the digest, the zone's tallies and the holdings to VMs in other zones.
+    /// Sends the digest, the zone's usage reports and the holdings to VMs in other zones.
     async fn send_remote(&self, mut digest: Digest, holdings: &[Digest], targets: &[SocketAddr]) {
-        let tallies = self.tallies(|ledger| ledger.zone_report(Instant::now()));
-        digest.tally = tallies.first().cloned();
+        let zone_reports = self.usage_reports(|ledger| ledger.zone_report(Instant::now()));
+        digest.usage_report = zone_reports.first().cloned();
         self.send_to(&digest, targets).await;
-        self.send_tallies(tallies.get(1..).unwrap_or_default(), INTERVAL, targets)
+        self.send_usage_reports(zone_reports.get(1..).unwrap_or_default(), INTERVAL, targets)
             .await;
         for message in holdings {
             self.send_to(message, targets).await;
         }
     }
 
-    /// Sends the tallies that did not fit into the digest.
-    async fn send_tallies(&self, tallies: &[TallyPart], next_in: Duration, targets: &[SocketAddr]) {
-        for tally in tallies {
+    /// Sends the parts of a usage report that did not fit into the digest.
+    async fn send_usage_reports(
+        &self,
+        reports: &[UsageReportPart],
+        next_in: Duration,
+        targets: &[SocketAddr],
+    ) {
+        for report in reports {
             let message = Digest {
                 boot: self.boot,
                 is_partial: true,
                 availability_zone: self.state.settings.availability_zone.to_string(),
                 next_in_ms: next_in.as_millis() as u32,
-                tally: Some(tally.clone()),
+                usage_report: Some(report.clone()),
                 ..Digest::default()
             };
             self.send_to(&message, targets).await;
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -73,7 +73,7 @@
     /// What organisations were granted: at the sender, or, in messages to remote zones, in the
     /// whole zone of the sender.
     #[prost(message, optional, tag = "19")]
-    pub(super) tally: Option<TallyPart>,
+    pub(super) usage_report: Option<UsageReportPart>,
     /// The load of the zone of the sender. In a large fleet, messages to remote zones carry it in
     /// place of `loads`.
     #[prost(message, optional, tag = "20")]
@@ -211,10 +211,10 @@
     }
 }
 
-/// A part of a tally: what some organisations were granted at one VM, or in a zone.
+/// A part of a usage report: what some organisations were granted at one VM, or in a zone.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct TallyPart {
-    /// The number of VMs that the tally covers.
+pub(super) struct UsageReportPart {
+    /// The number of VMs that the report covers.
     #[prost(uint32, tag = "1")]
     pub(super) vms: u32,
     #[prost(message, repeated, tag = "2")]
@@ -222,7 +222,7 @@
     /// How many of these VMs have grants recorded for the whole quota window. One that started
     /// within the window counts as a fraction.
     #[prost(float, tag = "3")]
-    pub(super) remembering_vms: f32,
+    pub(super) recorded_vms: f32,
 }
 
 /// What one organisation was granted.
@@ -231,23 +231,23 @@
     /// The short name of the organisation.
     #[prost(fixed32, tag = "1")]
     pub(super) organisation: u32,
-    /// The amount asked for within the last second, granted or not.
+    /// The amount requested within the last second, granted or not.
     #[prost(uint64, tag = "2")]
-    pub(super) asked: u64,
+    pub(super) requested: u64,
     /// The amount granted within each span of the quota window, the shortest first.
     #[prost(uint64, repeated, tag = "3")]
     pub(super) granted: Vec<u64>,
 }
 
-impl TallyPart {
-    /// Splits a tally into parts that fit one message each. A tally without grants still gives one
-    /// part, so that its VM is counted.
-    pub(super) fn parts(tally: &UsageReport) -> Vec<Self> {
+impl UsageReportPart {
+    /// Splits a report into parts that fit one message each. A report without grants still gives
+    /// one part, so that its VM is counted.
+    pub(super) fn parts(report: &UsageReport) -> Vec<Self> {
         let usages: Vec<OrganisationUsage> =
-            tally.usages.iter().map(OrganisationUsage::of).collect();
+            report.usages.iter().map(OrganisationUsage::of).collect();
         let part = |usages: &[OrganisationUsage]| Self {
-            vms: tally.vms,
-            remembering_vms: tally.remembering_vms as f32,
+            vms: report.vms,
+            recorded_vms: report.recorded_vms as f32,
             usages: usages.to_vec(),
         };
         match usages.is_empty() {
@@ -257,10 +257,10 @@
     }
 
     /// Decodes the part.
-    pub(super) fn tally(&self) -> UsageReport {
+    pub(super) fn report(&self) -> UsageReport {
         UsageReport {
             vms: self.vms,
-            remembering_vms: f64::from(self.remembering_vms),
+            recorded_vms: f64::from(self.recorded_vms),
             usages: self.usages.iter().map(OrganisationUsage::usage).collect(),
         }
     }
@@ -270,7 +270,7 @@
     fn of((organisation, usage): &(u32, Usage)) -> Self {
         Self {
             organisation: *organisation,
-            asked: usage.asked.round() as u64,
+            requested: usage.requested.round() as u64,
             granted: usage.granted.map(|it| it.round() as u64).to_vec(),
         }
     }
@@ -281,7 +281,7 @@
             *span = *amount as f64;
         }
         let usage = Usage {
-            asked: self.asked as f64,
+            requested: self.requested as f64,
             granted,
         };
         (self.organisation, usage)
--- a/src/gateway/gossip_receiver.rs
+++ b/src/gateway/gossip_receiver.rs
@@ -62,7 +62,7 @@
         }
         self.apply_holdings(&digest, now);
         self.apply_prompts(sender, &digest, now);
-        self.apply_tally(sender, &digest, now);
+        self.apply_usage_report(sender, &digest, now);
         if digest.has_loads {
             self.state.peers.apply_loads(sender, &digest);
         }
@@ -76,17 +76,17 @@
         digest.requests_view
     }
 
-    fn apply_tally(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
-        let Some(message) = &digest.tally else {
+    fn apply_usage_report(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
+        let Some(part) = &digest.usage_report else {
             return;
         };
         let zone = digest.availability_zone.as_str();
         let mut ledger = self.state.ledger.borrow_mut();
         if zone == self.state.settings.availability_zone {
             let next_in = Duration::from_millis(u64::from(digest.next_in_ms));
-            ledger.apply_vm_report(sender, message.tally(), next_in, now);
+            ledger.apply_vm_report(sender, part.report(), next_in, now);
         } else {
-            ledger.apply_zone_report(&zone.into(), message.tally(), now);
+            ledger.apply_zone_report(&zone.into(), part.report(), now);
         }
     }
 
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -6,7 +6,8 @@
 use crate::gateway::fleet::{Holding, Incarnation};
 use crate::gateway::gossip::{Gossip, INTERVAL};
 use crate::gateway::gossip_message::{
-    Digest, FollowedLog, ServerHoldings, ServerRequests, TallyPart, WeightsDemand, ZoneLoadSums,
+    Digest, FollowedLog, ServerHoldings, ServerRequests, UsageReportPart, WeightsDemand,
+    ZoneLoadSums,
 };
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::log_follower::Reading;
@@ -92,14 +93,17 @@
         ZoneLoadSums::of(part.into_iter())
     }
 
-    /// Splits a tally of the ledger into parts that fit one message each. Without organisations
+    /// Splits a report of the ledger into parts that fit one message each. Without organisations
     /// there are none.
-    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> UsageReport) -> Vec<TallyPart> {
+    pub(super) fn usage_reports(
+        &self,
+        report: impl FnOnce(&mut Ledger) -> UsageReport,
+    ) -> Vec<UsageReportPart> {
         let configuration = self.state.configuration();
         if configuration.is_none_or(|it| it.organisations.is_none()) {
             return Vec::new();
         }
-        TallyPart::parts(&tally(&mut self.state.ledger.borrow_mut()))
+        UsageReportPart::parts(&report(&mut self.state.ledger.borrow_mut()))
     }
 
     /// The messages about what runners hold, sent by the leader: recent changes, and holdings that
