--- a/src/gateway/directory_updates.rs
+++ b/src/gateway/directory_updates.rs
@@ -204,7 +204,7 @@
         let items: Option<Vec<ServerChange>> = changes.map(ServerUpdate::into_change).collect();
         Some(Changes {
             items: items.filter(|_| is_applicable)?,
-            next: self.next,
+            next_offset: self.next,
         })
     }
 }
--- a/src/gateway/election.rs
+++ b/src/gateway/election.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::order_dispatch::OrderDispatcher;
 use crate::gateway::state::State;
-use crate::gateway::{Claims, Group, Membership, RunnerControl, StoreError};
+use crate::gateway::{Group, LeadershipClaims, Membership, RunnerControl, StoreError};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -69,7 +69,7 @@
     has_lapsed_unchecked: Cell<bool>,
 }
 
-impl<S: Group + Claims, R: RunnerControl> LeaderElection<S, R> {
+impl<S: Group + LeadershipClaims, R: RunnerControl> LeaderElection<S, R> {
     /// Creates the state of a VM that is not a member yet.
     pub(crate) fn new(state: Rc<State>, store: Rc<S>, runner_control: R) -> Rc<Self> {
         let member = state.settings.peer_address.to_string();
--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -96,7 +96,7 @@
     /// The records, oldest first.
     pub(crate) items: Vec<T>,
     /// The offset at which to continue reading.
-    pub(crate) next: u64,
+    pub(crate) next_offset: u64,
 }
 
 /// A change to the directory of backend servers.
@@ -169,7 +169,7 @@
 }
 
 /// The log of leadership claims; the offset of a claim determines its fencing token (fence).
-pub(crate) trait Claims: 'static {
+pub(crate) trait LeadershipClaims: 'static {
     /// Checks whether a later claim follows the one with this fence.
     fn has_later_claim(&self, fence: u64) -> impl Future<Output = Result<bool, StoreError>>;
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -58,9 +58,9 @@
     Configuration, Engine, Limits, Model, Route, RouteKind, Service, Target,
 };
 pub(crate) use external::{
-    Changes, Claims, ConfigSource, Directory, Group, Malformed, Members, Membership, Order,
-    OrderOutcome, Protocol, Refusal, Reply, RunnerControl, RunnerReport, SendOptions, ServerChange,
-    StoreError, Weights,
+    Changes, ConfigSource, Directory, Group, LeadershipClaims, Malformed, Members, Membership,
+    Order, OrderOutcome, Protocol, Refusal, Reply, RunnerControl, RunnerReport, SendOptions,
+    ServerChange, StoreError, Weights,
 };
 pub(crate) use fleet::{Entry, Holding, ServerState};
 pub(crate) use metrics::Metrics;
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -9,7 +9,7 @@
 use crate::gateway::state::State;
 use crate::gateway::watch::LogWatcher;
 use crate::gateway::{
-    Claims, ConfigSource, Directory, Group, Metrics, Protocol, RunnerControl, Settings,
+    ConfigSource, Directory, Group, LeadershipClaims, Metrics, Protocol, RunnerControl, Settings,
 };
 use crate::http::{self, Body, serve_patiently};
 use compio::net::TcpListener;
@@ -58,7 +58,7 @@
 ) -> Result<(), Report<Fault>>
 where
     P: Protocol,
-    S: ConfigSource + Directory + Group + Claims,
+    S: ConfigSource + Directory + Group + LeadershipClaims,
     R: RunnerControl,
 {
     let journal = BufferedLog::start().change_context(Fault::Logging)?;
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -194,11 +194,11 @@
         }
         debug!(
             from = end,
-            next = changes.next,
+            next = changes.next_offset,
             changes = changes.items.len(),
             "directory update applied"
         );
-        let next = changes.next;
+        let next = changes.next_offset;
         self.apply_directory_changes(changes, now);
         self.following.note_received_update(next);
         self.purge_removed(now);
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -54,7 +54,7 @@
     for message in messages {
         whole = whole.or(assembly.add_part(message, end));
     }
-    whole.map(|changes| (changes.items.len(), changes.next))
+    whole.map(|changes| (changes.items.len(), changes.next_offset))
 }
 
 #[test]
@@ -105,7 +105,10 @@
 
 /// Applies changes and returns how many of them are forwarded to the zone.
 fn apply(state: &State, items: Vec<ServerChange>) -> usize {
-    let changes = Changes { items, next: 0 };
+    let changes = Changes {
+        items,
+        next_offset: 0,
+    };
     state
         .apply_directory_changes(changes, Instant::now())
         .0
--- a/src/gateway/tests/order_dispatch.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -177,7 +177,7 @@
 fn apply_change(state: &State, change: ServerChange) {
     let changes = Changes {
         items: vec![change],
-        next: 0,
+        next_offset: 0,
     };
     state.apply_directory_changes(changes, Instant::now());
 }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -74,9 +74,9 @@
             match read {
                 Ok(changes) => {
                     failures = 0;
-                    next = Some(changes.next);
+                    next = Some(changes.next_offset);
                     let reading = Reading {
-                        last_change: changes.next,
+                        last_change: changes.next_offset,
                         at: Instant::now(),
                     };
                     let following = &self.state.following;
@@ -191,7 +191,7 @@
     /// `None`. If this VM follows the log for its zone, forwards the relevant changes.
     fn apply_read(&self, mut changes: Changes<ServerChange>, from: Option<u64>) {
         let now = Instant::now();
-        let next = changes.next;
+        let next = changes.next_offset;
         if from.is_none() {
             changes.items.extend(self.removed_servers(&changes.items));
         }
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -39,7 +39,7 @@
     }
     Changes {
         items,
-        next: records.next,
+        next_offset: records.next_offset,
     }
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -2,8 +2,8 @@
 
 use crate::client::{Connection, SendError};
 use crate::gateway::{
-    Changes, Claims, ConfigSource, Configuration, Directory, Group, Members, Membership, Metrics,
-    ServerChange, StoreError,
+    Changes, ConfigSource, Configuration, Directory, Group, LeadershipClaims, Members, Membership,
+    Metrics, ServerChange, StoreError,
 };
 use crate::http::{Body, read_body};
 use crate::inventory::Name;
@@ -244,14 +244,14 @@
     /// Reads the newest record of each key, page by page, and the offset at which to continue.
     async fn read_newest(&self, topic: &str) -> Result<Changes<KeyedRecord>, StoreError> {
         let mut records = Vec::new();
-        let mut next = None;
+        let mut next_offset = None;
         let mut after = String::new();
         loop {
             let path = format!("/-/log-newest?topic={topic}&part=0{after}");
             let page: WireNewest = parse(&self.get(&path, Duration::ZERO).await?)?;
             // The pages are not one consistent snapshot. Reading continues at the end offset of the
             // first page, so that records appended during the later pages are not missed.
-            let end = *next.get_or_insert(page.end);
+            let end = *next_offset.get_or_insert(page.end);
             if let Some(last) = page.items.last() {
                 after = format!("&after={}", last.key);
             }
@@ -265,7 +265,7 @@
             if !page.more_pages {
                 return Ok(Changes {
                     items: records,
-                    next: end,
+                    next_offset: end,
                 });
             }
         }
@@ -284,11 +284,11 @@
         );
         let answer = self.get(&path, wait).await?;
         let records = split_records(answer).ok_or(StoreError::Garbled)?;
-        let next = from + records.len() as u64;
+        let next_offset = from + records.len() as u64;
         let items: Option<Vec<KeyedRecord>> = records.into_iter().map(parse_keyed_record).collect();
         Ok(Changes {
             items: items.ok_or(StoreError::Garbled)?,
-            next,
+            next_offset,
         })
     }
 }
@@ -359,7 +359,7 @@
     });
     Changes {
         items: items.collect(),
-        next: records.next,
+        next_offset: records.next_offset,
     }
 }
 
@@ -438,7 +438,7 @@
     }
 }
 
-impl Claims for PlatformStore {
+impl LeadershipClaims for PlatformStore {
     async fn has_later_claim(&self, fence: u64) -> Result<bool, StoreError> {
         // A claim's fence is its offset plus one, which is the offset of the next claim.
         let path = format!("/-/log-read?topic={CLAIMS_TOPIC}&part=0&from={fence}&wait_ms=0");
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -262,7 +262,14 @@
         .remove("born");
     let read = |entries: &[Value], servers_report_start: &Cell<bool>| {
         let items = entries.iter().map(record).collect();
-        let changes = server_changes(Changes { items, next: 1 }, servers_report_start).items;
+        let changes = server_changes(
+            Changes {
+                items,
+                next_offset: 1,
+            },
+            servers_report_start,
+        )
+        .items;
         let is_upserted = |change: &ServerChange| matches!(change, ServerChange::Upserted(_));
         changes.iter().map(is_upserted).collect::<Vec<bool>>()
     };
