--- a/src/callers/organisation_index.rs
+++ b/src/callers/organisation_index.rs
@@ -61,8 +61,9 @@
         xxh3_64_with_seed(key.bytes(), self.seed)
     }
 
-    /// Returns the organisation that holds a key; `None` if no organisation or more than one does.
-    pub(crate) fn holder(&self, key: &ApiKey) -> Option<&Rc<Organisation>> {
+    /// Returns the organisation that owns a key; `None` if no organisation or more than one lists
+    /// it.
+    pub(crate) fn owner(&self, key: &ApiKey) -> Option<&Rc<Organisation>> {
         let entries = self.entries.get(&self.hash(key))?;
         let entry = entries.iter().find(|entry| entry.key.equals(key))?;
         match entry.organisations.as_slice() {
--- a/src/callers/tests/keys.rs
+++ b/src/callers/tests/keys.rs
@@ -19,19 +19,19 @@
     ApiKeyIndex::new(listed.collect())
 }
 
-fn holder(index: &ApiKeyIndex, key: &str) -> Option<String> {
-    let holder = index.holder(&ApiKey::new(key.as_bytes()))?;
-    Some(holder.name.to_string())
+fn owner(index: &ApiKeyIndex, key: &str) -> Option<String> {
+    let owner = index.owner(&ApiKey::new(key.as_bytes()))?;
+    Some(owner.name.to_string())
 }
 
 #[test]
 fn a_key_identifies_the_organisation_that_lists_it() {
     let index = index(&[("north", &["a", "b"]), ("south", &["c"])]);
-    assert_eq!(holder(&index, "a").as_deref(), Some("north"));
-    assert_eq!(holder(&index, "b").as_deref(), Some("north"));
-    assert_eq!(holder(&index, "c").as_deref(), Some("south"));
-    assert_eq!(holder(&index, "d"), None);
-    assert_eq!(holder(&index, ""), None);
+    assert_eq!(owner(&index, "a").as_deref(), Some("north"));
+    assert_eq!(owner(&index, "b").as_deref(), Some("north"));
+    assert_eq!(owner(&index, "c").as_deref(), Some("south"));
+    assert_eq!(owner(&index, "d"), None);
+    assert_eq!(owner(&index, ""), None);
     assert!(index.shared_keys().is_empty());
 }
 
@@ -39,8 +39,8 @@
 fn a_key_listed_twice_identifies_no_organisation_and_is_reported() {
     let listed: &[(&str, &[&str])] = &[("north", &["a", "b"]), ("south", &["b"])];
     let index = index(listed);
-    assert_eq!(holder(&index, "a").as_deref(), Some("north"));
-    assert_eq!(holder(&index, "b"), None);
+    assert_eq!(owner(&index, "a").as_deref(), Some("north"));
+    assert_eq!(owner(&index, "b"), None);
     let shared = index.shared_keys();
     assert_eq!(shared.len(), 1);
     assert_eq!(shared[0].organisations, ["north", "south"]);
@@ -65,9 +65,9 @@
     ) {
         let keys: Vec<&str> = listed.iter().map(String::as_str).collect();
         let index = index(&[("north", &keys)]);
-        prop_assert_eq!(holder(&index, &looked_up).is_some(), listed.contains(&looked_up));
+        prop_assert_eq!(owner(&index, &looked_up).is_some(), listed.contains(&looked_up));
         for key in &keys {
-            prop_assert!(holder(&index, key).is_some());
+            prop_assert!(owner(&index, key).is_some());
         }
     }
 }
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -196,13 +196,13 @@
         route: &Route,
         key: Option<&ApiKey>,
     ) -> Result<Option<Rc<Organisation>>, Failure> {
-        let Some(register) = &self.organisations else {
+        let Some(index) = &self.organisations else {
             return Ok(None);
         };
-        let holder = key.and_then(|key| register.holder(key));
-        match holder {
+        let owner = key.and_then(|key| index.owner(key));
+        match owner {
             None if !route.is_public => Err(Failure::UnknownKey),
-            holder => Ok(holder.cloned()),
+            owner => Ok(owner.cloned()),
         }
     }
 
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -61,7 +61,7 @@
     S: ConfigSource + Directory + Group + LeadershipClaims,
     R: RunnerControl,
 {
-    let journal = BufferedLog::start().change_context(Fault::Logging)?;
+    let log_buffer = BufferedLog::start().change_context(Fault::Logging)?;
     let callers = bind(settings.caller_address).await?;
     let readiness = bind(settings.ready_address).await?;
     let state = Rc::new(State::new(settings, metrics));
@@ -95,7 +95,7 @@
     election.leave().await;
     drain(&state, stopped_at).await;
     info!(open = state.shutdown.open(), "stopped");
-    journal.flush();
+    log_buffer.flush();
     Ok(())
 }
 
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -195,7 +195,7 @@
         if from.is_none() {
             changes.items.extend(self.removed_servers(&changes.items));
         }
-        let (relevant, has_news) = self.state.apply_directory_changes(changes, now);
+        let (relevant, has_availability_change) = self.state.apply_directory_changes(changes, now);
         let following = &self.state.following;
         following.directory_end.set(Some(next));
         let before = following.directory.get();
@@ -222,7 +222,7 @@
             sent_to.and_then(|from| update_messages(&relevant, from, next, was_log_unavailable));
         info!(
             changes = relevant.len(),
-            has_news,
+            has_news = has_availability_change,
             next,
             is_told = messages.is_some(),
             "directory changed"
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -154,15 +154,15 @@
     let Some(organisations) = wire.tenants else {
         return Ok(configuration);
     };
-    let register = ApiKeyIndex::new(organisations.into_iter().map(organisation).collect());
-    for shared in register.shared_keys() {
+    let index = ApiKeyIndex::new(organisations.into_iter().map(organisation).collect());
+    for shared in index.shared_keys() {
         error!(
             version = wire.version,
             organisations = shared.organisations.join(","),
             "key listed twice"
         );
     }
-    Ok(configuration.with_organisations(register))
+    Ok(configuration.with_organisations(index))
 }
 
 fn organisation(wire: WireOrganisation) -> (Organisation, Vec<ApiKey>) {
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -303,10 +303,10 @@
         {"name": "east", "api_keys": []},
     ]));
     let configuration = configuration::decode(&text).expect("the configuration is valid");
-    let register = configuration
+    let index = configuration
         .organisations
         .expect("there are organisations");
-    let owner_of = |key: &[u8]| register.holder(&ApiKey::new(key)).cloned();
+    let owner_of = |key: &[u8]| index.owner(&ApiKey::new(key)).cloned();
     let north = owner_of(b"a").expect("the key belongs to north");
     assert_eq!(north.priority, Some(2));
     let quota = north.quota.expect("north has a quota");
