--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -8,7 +8,7 @@
 /// units of load.
 ///
 /// In a large fleet a VM exchanges loads with each VM of another zone only once in many gossip
-/// rounds. A remote server that looks free is then chosen by all zones at once, whereas the load
+/// rounds. A remote server that appears idle is then chosen by all zones at once, whereas the load
 /// in the local zone is nearly current. Queued prompts are at most advertised within a zone.
 /// With the smaller penalty, 29 instead of 23 of 100 requests reach a full runner at nine tenths
 /// load (`tests/zones.rs`).
--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -187,7 +187,7 @@
 pub(crate) struct Weights {
     /// The model.
     pub(crate) model: Name,
-    /// The adapter; `None` stands for the model itself.
+    /// The adapter; `None` means the model itself.
     pub(crate) adapter: Option<Name>,
 }
 
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -195,7 +195,7 @@
     }
 
     /// Returns the number of requests of this VM that are in flight on the server, by model. The
-    /// empty name stands for requests to plain services.
+    /// empty name denotes requests to plain services.
     pub(crate) fn in_flight_by_model(&self) -> Vec<(Name, u32)> {
         let in_flight = self.in_flight.borrow();
         let counts = in_flight.iter();
@@ -204,8 +204,8 @@
             .collect()
     }
 
-    /// Counts a request for a model as in flight until the guard is dropped. The empty name stands
-    /// for requests to plain services.
+    /// Counts a request for a model as in flight until the guard is dropped. The empty name
+    /// denotes requests to plain services.
     pub(crate) fn track_in_flight(self: &Rc<Self>, model: Name) -> InFlightGuard {
         *self
             .in_flight
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -74,8 +74,8 @@
     /// whole zone of the sender.
     #[prost(message, optional, tag = "19")]
     pub(super) usage_report: Option<UsageReportPart>,
-    /// The load of the zone of the sender. In a large fleet, messages to remote zones carry it in
-    /// place of `loads`.
+    /// The load of the zone of the sender. In a large fleet, messages to remote zones carry it
+    /// instead of `loads`.
     #[prost(message, optional, tag = "20")]
     pub(super) zone_loads: Option<ZoneLoadSums>,
     /// Whether this partial message carries the load of the sender.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Replaces the members of the group that the log lists, without this VM. `is_all` tells
-    /// whether the list is complete.
+    /// Replaces the members of the group that the log lists, without this VM. `is_all` is
+    /// true if the list is complete.
     pub(crate) fn set_members(&self, members: Vec<SocketAddr>, is_all: bool) {
         *self.members.borrow_mut() = members;
         self.has_read_members.set(true);
--- a/src/gateway/swaps.rs
+++ b/src/gateway/swaps.rs
@@ -1,4 +1,4 @@
-//! Plans swaps: loading a model on a runner, in place of others where memory is short.
+//! Plans swaps: loading a model on a runner and unloading others where memory is short.
 //!
 //! The demand shifts quickly: a few models receive most requests, others are requested now and
 //! then, and which these are changes within seconds. A swap is made if the new copy, from when it
--- a/src/gateway/tests/decisions.rs
+++ b/src/gateway/tests/decisions.rs
@@ -114,7 +114,7 @@
     let service = Name::from("s");
     let start = Instant::now();
     let mut retries = Vec::new();
-    // Every request asks for a retry, spread unevenly over the VMs, for half a minute.
+    // Every request needs a retry, spread unevenly over the VMs, for half a minute.
     for step in 0..3_000_u64 {
         let now = start + Duration::from_millis(step * 10);
         let budget = &budgets[(step * step) as usize % VMS];
--- a/src/gateway/tests/views.rs
+++ b/src/gateway/tests/views.rs
@@ -316,7 +316,7 @@
     let mut fleet = Fleet::start(VMS, 0.1);
     let budgets: Vec<RetryBudget> = (0..VMS).map(|_| RetryBudget::new(allowance)).collect();
     let (mut requests, mut retries) = (0.0, 0.0);
-    // All VMs start at once, and every request asks for two retries.
+    // All VMs start at once, and every request needs two retries.
     for _ in 0..30 {
         fleet.run_round();
         for (vm, budget) in fleet.vms.iter().zip(&budgets) {
--- a/src/platform/entries.rs
+++ b/src/platform/entries.rs
@@ -89,7 +89,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the reported time is 0, which stands for an unknown one.
+/// Fails if the reported time is 0, which means that it is unknown.
 pub(super) fn parse_start(born: Option<u64>) -> Result<u64, serde_json::Error> {
     match born {
         Some(UNKNOWN_START) => Err(serde_json::Error::custom("born must not be 0")),
