--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,8 +1,8 @@
 //! Decides which requests are admitted, and which batch requests yield their slots.
 
-use crate::completion::Ask;
+use crate::completion::CompletionRequest;
 use crate::error::{Failure, Kind};
-use crate::fleet::{Load, Runner};
+use crate::fleet::{InFlightCounts, Runner};
 use crate::inventory::{AdmissionRule, Name, Priority};
 use crate::router::Router;
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
     /// # Errors
     ///
     /// Fails with [`Kind::Deadline`] and the number of seconds after which to retry.
-    pub(crate) fn admit(&self, request: &Ask) -> Result<(), Failure> {
+    pub(crate) fn admit(&self, request: &CompletionRequest) -> Result<(), Failure> {
         let rule = self
             .control
             .with(|control| control.inventory.rules.admission);
@@ -48,7 +48,7 @@
 
     /// Returns how long a request is expected to wait for a slot; `None` while no runner can serve
     /// it, unless it is a batch request.
-    fn expected_wait(&self, request: &Ask) -> Option<Duration> {
+    fn expected_wait(&self, request: &CompletionRequest) -> Option<Duration> {
         if request.priority == Priority::Batch {
             return Some(self.batch_queue.expected_wait(&request.target.base.model));
         }
@@ -76,7 +76,7 @@
     pub(crate) fn request_batch_yields(&self, runner: &Runner) {
         let peers = self.membership.peer_loads();
         if self.are_yields_enabled() && self.waiting_behind_batch(runner, &peers) > 0 {
-            runner.want_yields(1);
+            runner.request_yields(1);
         }
     }
 
@@ -90,7 +90,7 @@
             }
             let peers = self.membership.peer_loads();
             for runner in self.fleet.runners() {
-                runner.want_yields(self.own_yield_share(&runner, &peers));
+                runner.request_yields(self.own_yield_share(&runner, &peers));
             }
         }
     }
@@ -102,7 +102,7 @@
 
     /// Counts the requests other than batch ones that wait on a runner while batch requests hold
     /// its slots.
-    fn waiting_behind_batch(&self, runner: &Runner, peers: &HashMap<Name, Load>) -> u32 {
+    fn waiting_behind_batch(&self, runner: &Runner, peers: &HashMap<Name, InFlightCounts>) -> u32 {
         let load = total_load(runner, peers);
         let slots = self.slots_of(runner).unwrap_or(u32::MAX);
         load.all.saturating_sub(slots).min(load.all - load.batch)
@@ -110,7 +110,7 @@
 
     /// Returns this VM's share of the yields that a runner needs, in proportion to its batch
     /// requests there.
-    fn own_yield_share(&self, runner: &Runner, peers: &HashMap<Name, Load>) -> u32 {
+    fn own_yield_share(&self, runner: &Runner, peers: &HashMap<Name, InFlightCounts>) -> u32 {
         let needed = f64::from(self.waiting_behind_batch(runner, peers));
         let batch = f64::from(total_load(runner, peers).batch.max(1));
         let share = needed * f64::from(runner.in_flight().batch) / batch;
@@ -121,6 +121,6 @@
 }
 
 /// Returns the requests in flight on a runner, from this VM and its peers.
-fn total_load(runner: &Runner, peers: &HashMap<Name, Load>) -> Load {
+fn total_load(runner: &Runner, peers: &HashMap<Name, InFlightCounts>) -> InFlightCounts {
     runner.in_flight() + peers.get(&runner.name).copied().unwrap_or_default()
 }
--- a/src/append_pace.rs
+++ b/src/append_pace.rs
@@ -12,13 +12,13 @@
 
 /// Spaces one writer's appends: evenly, and wider while the log refuses them.
 #[derive(Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct AppendPacer {
     interval: Cell<Duration>,
     refusals: Cell<u32>,
     last_at: Cell<Option<Instant>>,
 }
 
-impl Pace {
+impl AppendPacer {
     /// Takes an even share of a budget of appends a second.
     pub(crate) fn share(&self, appends_per_s: u32, writers: usize) {
         let interval_s = writers as f64 / f64::from(appends_per_s.max(1));
@@ -26,17 +26,17 @@
     }
 
     /// Notes that the log took an append.
-    pub(crate) fn note_taken(&self) {
+    pub(crate) fn record_accepted(&self) {
         self.refusals.set(0);
     }
 
     /// Notes that the log refused an append as one too many.
-    pub(crate) fn note_refused(&self) {
+    pub(crate) fn record_refused(&self) {
         self.refusals.set(self.refusals.get() + 1);
     }
 
     /// Waits until the next append is due, and counts it as made.
-    pub(crate) async fn turn(&self) {
+    pub(crate) async fn wait_until_due(&self) {
         if let Some(last_at) = self.last_at.get() {
             compio::time::sleep_until(last_at + self.pause()).await;
         }
--- a/src/client.rs
+++ b/src/client.rs
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// Fails with [`SendError::NotSent`] when the address does not accept within `timeout`.
-    pub(crate) async fn open_owned(
+    pub(crate) async fn open_abort_on_drop(
         address: SocketAddr,
         timeout: Duration,
         unacked_limit: Duration,
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -6,7 +6,7 @@
 use crate::engine::request;
 use crate::error::{Failure, Kind, Ran};
 use crate::events::{Event, emit};
-use crate::fleet::{InFlight, Runner};
+use crate::fleet::{InFlightGuard, Runner};
 use crate::http::Body;
 use crate::inventory::{Name, Priority};
 use crate::quarantine::{EngineRun, Isolation, Quarantine};
@@ -48,7 +48,7 @@
 
 /// What a caller asked for.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct CompletionRequest {
     /// Names the request through every process.
     pub(crate) id: Name,
     /// The same for each sending of the request, through whichever VM.
@@ -65,7 +65,7 @@
     pub(crate) first_token_by: Option<Instant>,
 }
 
-impl Ask {
+impl CompletionRequest {
     /// The tokens that the request asks for at most, if it says so.
     pub(crate) fn max_tokens(&self) -> Option<u64> {
         self.body.get("max_tokens").and_then(Value::as_u64)
@@ -91,7 +91,7 @@
     reader: SseReader,
     connection: Connection,
     run: EngineRun,
-    in_flight: InFlight,
+    in_flight: InFlightGuard,
 }
 
 /// What all completions of a VM share.
@@ -109,7 +109,7 @@
 /// One completion under way.
 pub(crate) struct Completion {
     shared: Rc<Shared>,
-    ask: Ask,
+    ask: CompletionRequest,
     attempt: Option<Attempt>,
     attempts: u32,
     fruitless: u32,
@@ -146,7 +146,7 @@
 
 impl Completion {
     /// A completion that has not been sent anywhere yet.
-    pub(crate) fn new(shared: Rc<Shared>, ask: Ask) -> Self {
+    pub(crate) fn new(shared: Rc<Shared>, ask: CompletionRequest) -> Self {
         shared.budget.note_request();
         Self {
             shared,
@@ -533,7 +533,7 @@
                 self.ask.id, choice.target.base, choice.runner.name, choice.score, choice.others
             ),
         );
-        let in_flight = choice.runner.enter(self.ask.priority);
+        let in_flight = choice.runner.track_request(self.ask.priority);
         if self.ask.priority == Priority::Urgent {
             self.shared.router.request_batch_yields(&choice.runner);
         }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -177,7 +177,7 @@
         if self.open_loads() >= MAX_OPEN_LOADS {
             return Verdict::Refused;
         }
-        let capacity_mib = server.weights_room_mib();
+        let capacity_mib = server.weights_capacity_mib();
         let ledger = self.ledgers.entry(runner.clone()).or_default();
         ledger.load(fences, artifact, mib, capacity_mib)
     }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,21 +1,21 @@
 //! The callers' side: routes, limits and answers.
 
-use crate::completion::{Ask, COMPLETIONS_PATH, Completion, Shared, Step};
+use crate::completion::{COMPLETIONS_PATH, Completion, CompletionRequest, Shared, Step};
 use crate::error::{Failure, Kind};
 use crate::events::{Event, emit};
 use crate::http::{AnswerSender, Body, ReadError, json_response, read_body};
 use crate::inventory::{Inventory, Name, PlainService, Priority};
 use crate::membership::Membership;
 use crate::metrics::{Metrics, RequestLabels};
-use crate::plain_service::{Call, PlainCalls};
+use crate::plain_service::{Call, PlainServiceClient};
 use crate::request_headers::{
     Sender, deadline_ms, fingerprint, idempotency_key, request_id, sender,
 };
 use crate::retry::RetryBudget;
 use crate::router::Target;
 use crate::server::{ControlStream, KeyStream};
-use crate::service_registry::{Kernel, Service};
-use crate::shutdown::{OpenGuard, Shutdown};
+use crate::service_registry::{Service, ServiceRegistry};
+use crate::shutdown::{Shutdown, WorkGuard};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode, header};
@@ -42,7 +42,7 @@
     control: Rc<ControlStream>,
     keys: Rc<KeyStream>,
     completions: Rc<Shared>,
-    calls: Rc<PlainCalls>,
+    calls: Rc<PlainServiceClient>,
     metrics: Rc<Metrics>,
     shutdown: Rc<Shutdown>,
     membership: Rc<Membership>,
@@ -58,7 +58,7 @@
 struct CallerGuard {
     entry: Rc<Entry>,
     caller: Name,
-    _open: OpenGuard,
+    _open: WorkGuard,
 }
 
 impl Drop for CallerGuard {
@@ -71,20 +71,20 @@
 
 impl Entry {
     /// An entry over the services it reads.
-    pub(crate) fn new(kernel: &Kernel, max_body_bytes: usize) -> Self {
+    pub(crate) fn new(registry: &ServiceRegistry, max_body_bytes: usize) -> Self {
         Self {
-            control: kernel.find(),
-            keys: kernel.find(),
+            control: registry.find(),
+            keys: registry.find(),
             completions: Rc::new(Shared {
-                router: kernel.find(),
+                router: registry.find(),
                 pool: Rc::default(),
                 budget: RetryBudget::default(),
-                quarantine: kernel.find(),
+                quarantine: registry.find(),
             }),
-            calls: kernel.find(),
-            metrics: kernel.find(),
-            shutdown: kernel.find(),
-            membership: kernel.find(),
+            calls: registry.find(),
+            metrics: registry.find(),
+            shutdown: registry.find(),
+            membership: registry.find(),
             open: RefCell::default(),
             max_body_bytes,
         }
@@ -186,7 +186,7 @@
                 let message = format!("the body is larger than {limit_bytes} bytes");
                 (Kind::TooLarge, message)
             }
-            Ok(Err(ReadError::Cut)) => (Kind::Malformed, "the body broke off".to_owned()),
+            Ok(Err(ReadError::Disconnected)) => (Kind::Malformed, "the body broke off".to_owned()),
             Err(_elapsed) => (Kind::BodyTimeout, "the body did not arrive".to_owned()),
         };
         Err(Failure::new(kind, message))
@@ -244,7 +244,7 @@
         })?;
         let streamed = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
         let target = self.target(&body)?;
-        let ask = Ask {
+        let ask = CompletionRequest {
             id: id.clone(),
             fingerprint: fingerprint(&body),
             target,
@@ -352,7 +352,7 @@
         }
         match step {
             Ok(_) => {
-                sender.end_whole();
+                sender.mark_complete();
                 self.end("complete", None);
             }
             Err(failure) => {
--- a/src/error.rs
+++ b/src/error.rs
@@ -72,7 +72,7 @@
 
 /// The answer that belongs to an error kind.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// The kind this row is about.
     pub kind: Kind,
     /// The HTTP status.
@@ -94,8 +94,8 @@
     class: &'static str,
     ran: Ran,
     retry_after_s: Option<u32>,
-) -> Answer {
-    Answer {
+) -> ErrorResponse {
+    ErrorResponse {
         kind,
         status,
         code,
@@ -109,7 +109,7 @@
 const SERVER: &str = "server_error";
 
 /// Every error kind with its answer.
-pub const ANSWERS: &[Answer] = &[
+pub const ERROR_RESPONSES: &[ErrorResponse] = &[
     row(
         Kind::BodyTimeout,
         408,
@@ -208,8 +208,8 @@
     /// use rattanjunction::Kind;
     /// assert_eq!(Kind::UnknownModel.answer().status, 404);
     /// ```
-    pub fn answer(self) -> Answer {
-        ANSWERS
+    pub fn answer(self) -> ErrorResponse {
+        ERROR_RESPONSES
             .iter()
             .find(|answer| answer.kind == self)
             .copied()
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -27,26 +27,26 @@
     /// Where it listens.
     pub(crate) address: SocketAddr,
     report: RefCell<Option<(Instant, Report)>>,
-    in_flight: Cell<Load>,
+    in_flight: Cell<InFlightCounts>,
     broken_at: Cell<Option<Instant>>,
     yields_wanted: Cell<u32>,
 }
 
 /// Counts a request as in flight on a runner until dropped.
 #[derive(Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     runner: Rc<Runner>,
-    load: Load,
+    load: InFlightCounts,
 }
 
-impl InFlight {
+impl InFlightGuard {
     /// The runner that the request is on.
     pub(crate) fn runner(&self) -> &Runner {
         &self.runner
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let in_flight = self.runner.in_flight.get();
         self.runner.in_flight.set(in_flight - self.load);
@@ -55,14 +55,14 @@
 
 /// Requests in flight.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Load {
+pub(crate) struct InFlightCounts {
     /// All of them.
     pub(crate) all: u32,
     /// The batch ones among them.
     pub(crate) batch: u32,
 }
 
-impl std::ops::Add for Load {
+impl std::ops::Add for InFlightCounts {
     type Output = Self;
 
     fn add(self, other: Self) -> Self {
@@ -73,7 +73,7 @@
     }
 }
 
-impl std::ops::Sub for Load {
+impl std::ops::Sub for InFlightCounts {
     type Output = Self;
 
     fn sub(self, other: Self) -> Self {
@@ -84,7 +84,7 @@
     }
 }
 
-impl Load {
+impl InFlightCounts {
     /// The load of one request.
     fn of(priority: Priority) -> Self {
         Self {
@@ -148,22 +148,22 @@
     }
 
     /// Requests of this VM on the runner.
-    pub(crate) fn in_flight(&self) -> Load {
+    pub(crate) fn in_flight(&self) -> InFlightCounts {
         self.in_flight.get()
     }
 
     /// Counts one more request.
-    pub(crate) fn enter(self: &Rc<Self>, priority: Priority) -> InFlight {
-        let load = Load::of(priority);
+    pub(crate) fn track_request(self: &Rc<Self>, priority: Priority) -> InFlightGuard {
+        let load = InFlightCounts::of(priority);
         self.in_flight.set(self.in_flight.get() + load);
-        InFlight {
+        InFlightGuard {
             runner: self.clone(),
             load,
         }
     }
 
     /// Wants so many of this VM's batch requests on the runner to give up their slots.
-    pub(crate) fn want_yields(&self, count: u32) {
+    pub(crate) fn request_yields(&self, count: u32) {
         self.yields_wanted.set(count.min(self.in_flight().batch));
     }
 
@@ -211,7 +211,10 @@
     }
 
     /// Takes over an inventory's runners and starts a task for each new one.
-    pub(crate) fn take<'a>(self: &Rc<Self>, servers: impl Iterator<Item = &'a BackendServer>) {
+    pub(crate) fn update_runners<'a>(
+        self: &Rc<Self>,
+        servers: impl Iterator<Item = &'a BackendServer>,
+    ) {
         let mut runners = self.runners.borrow_mut();
         let servers: HashMap<Name, &BackendServer> = servers
             .map(|server| (server.name.clone(), server))
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -154,7 +154,7 @@
 
     async fn open(&self, server: &Server) -> Result<Connection, SendError> {
         self.opened.inc();
-        Connection::open_owned(server.address, CONNECT_TIMEOUT, UNACKED_LIMIT).await
+        Connection::open_abort_on_drop(server.address, CONNECT_TIMEOUT, UNACKED_LIMIT).await
     }
 }
 
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -146,7 +146,7 @@
         request.body = match body {
             Ok(Ok(body)) => body,
             Ok(Err(ReadError::TooLarge)) => return Err(Failure::TooLarge),
-            Ok(Err(ReadError::Cut)) | Err(_) => return Err(Failure::BodyCut),
+            Ok(Err(ReadError::Disconnected)) | Err(_) => return Err(Failure::BodyCut),
         };
         let cost = request.generation.as_ref().map(|it| self.state.cost(it));
         let call = Call {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -11,7 +11,7 @@
 use crate::gateway::{
     ConfigSource, Directory, Group, LeadershipClaims, Metrics, Protocol, RunnerControl, Settings,
 };
-use crate::http::{self, Body, serve_patiently};
+use crate::http::{self, Body, serve_with_head_timeout};
 use compio::net::TcpListener;
 use error_stack::{Report, ResultExt};
 use futures_util::future::{Either, select};
@@ -118,7 +118,7 @@
         Duration::from_millis(limits.idle_timeout_ms) + IDLE_SLACK
     };
     let shutdown = state.shutdown.clone();
-    compio::runtime::spawn(serve_patiently(
+    compio::runtime::spawn(serve_with_head_timeout(
         listener,
         shutdown,
         head_timeout,
--- a/src/gateway/streaming.rs
+++ b/src/gateway/streaming.rs
@@ -191,7 +191,7 @@
         first: StreamEvent,
     ) -> Response<Body> {
         let head = stream.exchange.head.clone();
-        let body = Body::answer_by(MAX_BUFFERED_EVENTS, |sender| {
+        let body = Body::answer_from_task(MAX_BUFFERED_EVENTS, |sender| {
             compio::runtime::spawn(self.forward_events(call, stream, first, sender))
         });
         P::to_caller(&head, body)
@@ -224,7 +224,7 @@
                     ReadOutcome::Event(event) => break event,
                     ReadOutcome::End => {
                         self.finish(&call, stream, &progress);
-                        sender.end_whole();
+                        sender.mark_complete();
                         return;
                     }
                     ReadOutcome::Silent => self.note_break(&call, &stream, silence_cause(&call)),
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP serving over `hyper` and `compio`, and the body type of all answers.
 
 use crate::shutdown::Shutdown;
-use crate::write_stall::{StallWatch, Watched};
+use crate::write_stall::{MonitoredStream, StallMonitor};
 use bytes::Bytes;
 use compio::net::{TcpListener, TcpSocket, TcpStream};
 use compio::runtime::JoinHandle;
@@ -61,7 +61,7 @@
 
 /// The sending half of an answer under way.
 ///
-/// Dropping it before [`AnswerSender::end_whole`] cuts the connection, whatever
+/// Dropping it before [`AnswerSender::mark_complete`] cuts the connection, whatever
 /// the reason: an answer that is not whole never looks as if it were.
 #[derive(Debug)]
 pub struct AnswerSender {
@@ -76,7 +76,7 @@
     }
 
     /// Declares that every chunk was sent.
-    pub fn end_whole(self) {
+    pub fn mark_complete(self) {
         self.whole.set(true);
     }
 }
@@ -127,7 +127,7 @@
     }
 
     /// An answer made by a task that is cancelled once its client is gone.
-    pub(crate) fn answer_by(
+    pub(crate) fn answer_from_task(
         capacity: usize,
         spawn: impl FnOnce(AnswerSender) -> JoinHandle<()>,
     ) -> Self {
@@ -186,7 +186,7 @@
     /// The body is larger than the limit.
     TooLarge,
     /// The connection broke.
-    Cut,
+    Disconnected,
 }
 
 /// Reads a body whole.
@@ -198,7 +198,7 @@
     match Limited::new(body, limit_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(ReadError::TooLarge),
-        Err(_) => Err(ReadError::Cut),
+        Err(_) => Err(ReadError::Disconnected),
     }
 }
 
@@ -226,12 +226,12 @@
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    serve_patiently(listener, shutdown, || HEADER_TIMEOUT, handler).await;
+    serve_with_head_timeout(listener, shutdown, || HEADER_TIMEOUT, handler).await;
 }
 
 /// Like [`serve`]; `head_timeout` tells, for each connection, how long a client may be idle
 /// or take to send a request head.
-pub(crate) async fn serve_patiently<T, H, F>(
+pub(crate) async fn serve_with_head_timeout<T, H, F>(
     listener: TcpListener,
     shutdown: Rc<Shutdown>,
     head_timeout: T,
@@ -285,7 +285,7 @@
             let leaving = leaving.clone();
             async move { Ok::<_, Infallible>(close_if_leaving(&leaving, answer.await)) }
         });
-        let (stream, watch) = Watched::new(HyperStream::new_plain(stream));
+        let (stream, watch) = MonitoredStream::new(HyperStream::new_plain(stream));
         let connection = http1::Builder::new()
             .timer(CompioTimer)
             .header_read_timeout(head_timeout)
@@ -320,7 +320,7 @@
     response
 }
 
-async fn stalled(watch: StallWatch) {
+async fn stalled(watch: StallMonitor) {
     while watch.stalled_for() < WRITE_STALL {
         compio::time::sleep(STALL_LOOK).await;
     }
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -97,7 +97,7 @@
     /// The claim is the first: its writer may send, once.
     First,
     /// Another claim holds the key, and its call has no answer yet.
-    Open,
+    Pending,
     /// The call ran; its answer is recorded at this fence.
     Replied(NonZeroU64),
     /// The key was used with another body.
@@ -105,7 +105,7 @@
     /// The key's time is outside of the window.
     Expired,
     /// A reply or a release was noted, or came too late to matter.
-    Noted,
+    Processed,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -151,7 +151,7 @@
 
 impl Keys {
     /// What a claim of this key would find now.
-    pub(crate) fn look(&self, key: KeyHash, digest: u64) -> Option<KeyVerdict> {
+    pub(crate) fn lookup(&self, key: KeyHash, digest: u64) -> Option<KeyVerdict> {
         let state = self.states.get(&key)?;
         Some(state.verdict(digest))
     }
@@ -199,7 +199,7 @@
         match self.reply {
             _ if self.digest != digest => KeyVerdict::Mismatch,
             Some(fence) => KeyVerdict::Replied(fence),
-            None => KeyVerdict::Open,
+            None => KeyVerdict::Pending,
         }
     }
 }
@@ -233,14 +233,14 @@
                     state.reply = Some(fence);
                     self.recent.put(fence, reply);
                 }
-                KeyVerdict::Noted
+                KeyVerdict::Processed
             }
             KeyCommand::Release { key, claim } => {
                 let state = self.states.get(&key);
                 if state.is_some_and(|state| state.claim == claim) {
                     self.states.remove(&key);
                 }
-                KeyVerdict::Noted
+                KeyVerdict::Processed
             }
         }
     }
--- a/src/inventory/backend_server.rs
+++ b/src/inventory/backend_server.rs
@@ -56,7 +56,7 @@
 
 impl BackendServer {
     /// Memory that weights may take.
-    pub fn weights_room_mib(&self) -> u64 {
+    pub fn weights_capacity_mib(&self) -> u64 {
         self.memory_mib.saturating_sub(self.kv_mib)
     }
 }
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -172,7 +172,7 @@
         let room_mib: u64 = self
             .runners()
             .filter(|runner| !runner.leaving)
-            .map(BackendServer::weights_room_mib)
+            .map(BackendServer::weights_capacity_mib)
             .sum();
         let need_mib: u64 = self
             .models
@@ -192,7 +192,7 @@
         let largest_mib = self
             .runners()
             .filter(|runner| !runner.leaving)
-            .map(BackendServer::weights_room_mib)
+            .map(BackendServer::weights_capacity_mib)
             .max()
             .unwrap_or(0);
         for (index, model) in self.models.iter().enumerate() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,7 +59,7 @@
 
 pub use client::{Connection, Pool, SendError};
 pub use config::Config;
-pub use error::{ANSWERS, Answer, Failure, Fault, Kind, Ran};
+pub use error::{ERROR_RESPONSES, ErrorResponse, Failure, Fault, Kind, Ran};
 pub use events::{EVENTS, Event, EventRow};
 pub use http::{Body, ReadError, json_response, listen, read_body, serve as serve_http};
 pub use inventory::{
@@ -69,4 +69,4 @@
 pub use reference::{FIELDS, FieldRow};
 pub use replay::{CommandVerdict, Replay};
 pub use server::serve;
-pub use shutdown::{OpenGuard, Shutdown};
+pub use shutdown::{Shutdown, WorkGuard};
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -2,9 +2,9 @@
 
 use crate::events::{Event, emit};
 use crate::external::{ListedVm, VmList};
-use crate::fleet::Load;
+use crate::fleet::InFlightCounts;
 use crate::inventory::Name;
-use crate::pause_detector::PauseWatch;
+use crate::pause_detector::PauseDetector;
 use crate::server::ControlStream;
 use crate::service_registry::Service;
 use crate::wire::{Heartbeat, ModelDemand};
@@ -36,7 +36,7 @@
     /// Where it takes heartbeats.
     pub(crate) address: SocketAddr,
     /// What it last said, and when.
-    pub(crate) heard: Option<(Instant, Heartbeat)>,
+    pub(crate) last_heard: Option<(Instant, Heartbeat)>,
     /// When the last question that it answered was sent.
     asked_at: Option<Instant>,
     /// Whether the list marks it as leaving.
@@ -45,7 +45,7 @@
 
 impl Peer {
     fn is_alive(&self) -> bool {
-        self.heard
+        self.last_heard
             .as_ref()
             .is_some_and(|(at, heartbeat)| at.elapsed() < PEER_TIMEOUT && !heartbeat.leaving)
     }
@@ -53,7 +53,7 @@
     fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            heard: None,
+            last_heard: None,
             asked_at: None,
             listed_leaving: false,
         }
@@ -61,7 +61,7 @@
 
     /// The peer's view of the VM list: its age now, and the servers it marks as leaving.
     fn view(&self) -> Option<(Duration, &[String])> {
-        let (at, heartbeat) = self.heard.as_ref()?;
+        let (at, heartbeat) = self.last_heard.as_ref()?;
         let age = Duration::from_millis(heartbeat.list_age_ms?) + at.elapsed();
         (at.elapsed() < PEER_TIMEOUT).then_some((age, heartbeat.leaving_servers.as_slice()))
     }
@@ -77,7 +77,7 @@
     listed_at: Cell<Option<Instant>>,
     list_checked_at: Cell<Option<Instant>>,
     started_at: Instant,
-    pauses: PauseWatch,
+    pauses: PauseDetector,
 }
 
 impl Service for Membership {
@@ -95,7 +95,7 @@
             listed_at: Cell::new(None),
             list_checked_at: Cell::new(None),
             started_at: Instant::now(),
-            pauses: PauseWatch::default(),
+            pauses: PauseDetector::default(),
         }
     }
 
@@ -175,7 +175,7 @@
             .peekable();
         let any_asked = asked.peek().is_some();
         let behind = asked
-            .filter_map(|peer| peer.heard.as_ref())
+            .filter_map(|peer| peer.last_heard.as_ref())
             .any(|(_, heartbeat)| heartbeat.control_offset > control.next_offset());
         any_asked && !behind && self.has_checked_since(moment, control)
     }
@@ -199,7 +199,7 @@
         check("the log", control.silence());
         check("the VM list", self.list_age());
         let listed = self.staying_peers();
-        let live = self.live_peers();
+        let live = self.live_peer_count();
         if live * 2 < listed {
             warnings.push(format!("only {live} of {listed} listed peers are heard"));
         }
@@ -265,13 +265,13 @@
                 format_args!("vm={} up=true", heartbeat.vm),
             );
         }
-        if let Some((_, before)) = &mut peer.heard
+        if let Some((_, before)) = &mut peer.last_heard
             && heartbeat.demands.is_empty()
             && heartbeat.revision == before.revision
         {
             heartbeat.demands = std::mem::take(&mut before.demands);
         }
-        peer.heard = Some((Instant::now(), heartbeat));
+        peer.last_heard = Some((Instant::now(), heartbeat));
         peer.asked_at = asked_at.or(peer.asked_at);
         drop(peers);
         self.merge_marks();
@@ -304,12 +304,12 @@
     }
 
     /// The live peer that has read furthest, if beyond `offset`.
-    pub(crate) fn furthest_peer(&self, offset: u64) -> Option<SocketAddr> {
+    pub(crate) fn most_advanced_peer(&self, offset: u64) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         peers
             .values()
             .filter_map(|peer| {
-                let (at, heartbeat) = peer.heard.as_ref()?;
+                let (at, heartbeat) = peer.last_heard.as_ref()?;
                 let fresh = at.elapsed() < PEER_TIMEOUT;
                 let ahead = heartbeat.revision > 0 && heartbeat.control_offset > offset;
                 (fresh && ahead).then_some((heartbeat.control_offset, peer.address))
@@ -334,7 +334,7 @@
     }
 
     /// The number of peers that live.
-    pub(crate) fn live_peers(&self) -> usize {
+    pub(crate) fn live_peer_count(&self) -> usize {
         self.peers
             .borrow()
             .values()
@@ -343,7 +343,7 @@
     }
 
     /// Whether this VM comes first among the live ones for a task, by rendezvous hashing.
-    pub(crate) fn is_first_for(&self, task: &str) -> bool {
+    pub(crate) fn is_assigned(&self, task: &str) -> bool {
         if self.started_at.elapsed() < PEER_TIMEOUT {
             return false;
         }
@@ -371,23 +371,24 @@
         peers
             .values()
             .filter(|peer| peer.is_alive())
-            .filter_map(|peer| peer.heard.as_ref())
+            .filter_map(|peer| peer.last_heard.as_ref())
             .filter(|(_, heartbeat)| heartbeat.revision == revision)
             .flat_map(|(_, heartbeat)| heartbeat.demands.iter().copied())
             .collect()
     }
 
     /// Requests in flight by runner, summed over the peers that live.
-    pub(crate) fn peer_loads(&self) -> HashMap<Name, Load> {
+    pub(crate) fn peer_loads(&self) -> HashMap<Name, InFlightCounts> {
         let mut loads = HashMap::new();
         for peer in self.peers.borrow().values().filter(|peer| peer.is_alive()) {
-            let Some((_, heartbeat)) = &peer.heard else {
+            let Some((_, heartbeat)) = &peer.last_heard else {
                 continue;
             };
             for load in &heartbeat.loads {
-                let sum: &mut Load = loads.entry(load.runner.as_str().into()).or_default();
+                let sum: &mut InFlightCounts =
+                    loads.entry(load.runner.as_str().into()).or_default();
                 *sum = *sum
-                    + Load {
+                    + InFlightCounts {
                         all: load.in_flight,
                         batch: load.batch,
                     };
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -12,7 +12,7 @@
 use crate::metrics::{Metrics, StreamLabels};
 use crate::recent_decisions;
 use crate::server::{ControlStream, KeyStream};
-use crate::service_registry::{Kernel, Service};
+use crate::service_registry::{Service, ServiceRegistry};
 use crate::stream::{ProposeError, Recorded};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode, header};
@@ -62,16 +62,16 @@
 
 impl Operator {
     /// An operators' service over the services it reads.
-    pub(crate) fn new(kernel: &Kernel, vm: Name, zone: Name) -> Self {
+    pub(crate) fn new(registry: &ServiceRegistry, vm: Name, zone: Name) -> Self {
         Self {
             vm,
             zone,
-            entry: kernel.find(),
-            control: kernel.find(),
-            keys: kernel.find(),
-            fleet: kernel.find(),
-            membership: kernel.find(),
-            metrics: kernel.find(),
+            entry: registry.find(),
+            control: registry.find(),
+            keys: registry.find(),
+            fleet: registry.find(),
+            membership: registry.find(),
+            metrics: registry.find(),
         }
     }
 
@@ -104,7 +104,9 @@
         self.metrics
             .revision
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
-        self.metrics.peers.set(self.membership.live_peers() as i64);
+        self.metrics
+            .peers
+            .set(self.membership.live_peer_count() as i64);
         self.metrics
             .keys
             .set(self.keys.with(|keys| keys.len()) as i64);
@@ -184,7 +186,7 @@
 
     /// Begins with an empty state, if nobody knows the one that was in force.
     async fn start_anew(&self) -> Result<(), Failure> {
-        if self.control.has_usable_state() || self.membership.furthest_peer(0).is_some() {
+        if self.control.has_usable_state() || self.membership.most_advanced_peer(0).is_some() {
             let message = "the configuration in force is known; publish without starting anew";
             return Err(Failure::new(Kind::Conflict, message));
         }
@@ -261,13 +263,13 @@
         let own = json!({"name": self.vm, "availability_zone": self.zone, "alive": true,
             "revision": self.control.with(|control| control.revision)});
         let peers = self.membership.peers().into_iter().map(|(name, peer)| {
-            let heard = peer.heard.as_ref();
+            let last_heard = peer.last_heard.as_ref();
             json!({
                 "name": name,
-                "availability_zone": heard.map(|(_, heartbeat)| &heartbeat.availability_zone),
+                "availability_zone": last_heard.map(|(_, heartbeat)| &heartbeat.availability_zone),
                 "alive": self.membership.is_alive(&name),
-                "leaving": peer.listed_leaving || heard.is_some_and(|(_, said)| said.leaving),
-                "revision": heard.map(|(_, heartbeat)| heartbeat.revision),
+                "leaving": peer.listed_leaving || last_heard.is_some_and(|(_, said)| said.leaving),
+                "revision": last_heard.map(|(_, heartbeat)| heartbeat.revision),
             })
         });
         std::iter::once(own).chain(peers).collect()
@@ -291,7 +293,7 @@
                         "leaving": server.leaving || self.membership.is_server_leaving(&server.name),
                         "running": load.map(|(running, _)| running),
                         "waiting": load.map(|(_, waiting)| waiting),
-                        "room_mib": server.weights_room_mib(),
+                        "room_mib": server.weights_capacity_mib(),
                         "taken_mib": ledger.taken_mib(),
                         "copies": ledger.copies.iter().map(|(artifact, copy)| json!({
                             "artifact": artifact.to_string(), "mib": copy.mib,
--- a/src/pause_detector.rs
+++ b/src/pause_detector.rs
@@ -11,13 +11,13 @@
 
 /// Watches over the process's own progress.
 #[derive(Debug)]
-pub(crate) struct PauseWatch {
+pub(crate) struct PauseDetector {
     beat_at: Cell<Instant>,
     woke_at: Cell<Option<Instant>>,
     woken: Signal,
 }
 
-impl Default for PauseWatch {
+impl Default for PauseDetector {
     fn default() -> Self {
         Self {
             beat_at: Cell::new(Instant::now()),
@@ -27,7 +27,7 @@
     }
 }
 
-impl PauseWatch {
+impl PauseDetector {
     /// Beats until the process ends.
     pub(crate) async fn run(&self) {
         loop {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -63,7 +63,7 @@
         Rc::new(Self {
             service,
             membership,
-            bytes: metrics.leg("peers"),
+            bytes: metrics.control_traffic_counter("peers"),
         })
     }
 
@@ -134,7 +134,7 @@
             let Some(offset) = self.service.wants_state() else {
                 continue;
             };
-            let Some(address) = self.membership.furthest_peer(offset) else {
+            let Some(address) = self.membership.most_advanced_peer(offset) else {
                 continue;
             };
             let fetched = compio::time::timeout(STATE_TIMEOUT, self.fetch_state(address, offset));
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -155,7 +155,7 @@
             .map(|(_, mib)| mib)
             .sum();
         runner
-            .weights_room_mib()
+            .weights_capacity_mib()
             .saturating_sub(memory_ledger.taken_mib() + pending_adapters_mib)
     }
 
@@ -188,7 +188,7 @@
                             runner: runner.name.clone(),
                             artifact,
                             mib,
-                            capacity_mib: runner.weights_room_mib(),
+                            capacity_mib: runner.weights_capacity_mib(),
                             reason: "adapter_missing",
                             others: String::new(),
                         });
@@ -238,7 +238,7 @@
                     runner: runner.name.clone(),
                     artifact: Self::artifact(model),
                     mib: model.weights_mib,
-                    capacity_mib: runner.weights_room_mib(),
+                    capacity_mib: runner.weights_capacity_mib(),
                     reason,
                     others,
                 });
--- a/src/placement/eviction.rs
+++ b/src/placement/eviction.rs
@@ -47,7 +47,7 @@
         }
         let mut overfull = self.runners.iter().map(|runner| {
             let taken_mib = self.memory_ledger(runner).taken_mib();
-            let over_mib = taken_mib.saturating_sub(runner.weights_room_mib());
+            let over_mib = taken_mib.saturating_sub(runner.weights_capacity_mib());
             self.evict_copies(runner, over_mib, "memory_made_smaller").1
         });
         overfull
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -299,7 +299,7 @@
                 runner: candidate.runner.name.clone(),
                 artifact: Self::artifact(candidate.model),
                 mib: candidate.model.weights_mib,
-                capacity_mib: candidate.runner.weights_room_mib(),
+                capacity_mib: candidate.runner.weights_capacity_mib(),
                 reason,
                 others: format!("gain_slots:{:.1}", candidate.gained_slots),
             }];
--- a/src/plain_service.rs
+++ b/src/plain_service.rs
@@ -104,7 +104,7 @@
 }
 
 /// Gives calls to plain services.
-pub(crate) struct PlainCalls {
+pub(crate) struct PlainServiceClient {
     control: Rc<ControlStream>,
     keys: Rc<KeyStream>,
     membership: Rc<Membership>,
@@ -113,7 +113,7 @@
     turn: Cell<usize>,
 }
 
-impl Service for PlainCalls {
+impl Service for PlainServiceClient {
     const NAME: &'static str = "plain_calls";
 }
 
@@ -124,7 +124,7 @@
     Unknown,
 }
 
-impl PlainCalls {
+impl PlainServiceClient {
     /// Calls over the services it reads.
     pub(crate) fn new(
         control: Rc<ControlStream>,
@@ -200,7 +200,7 @@
         let hash = key_hash(service, call, key);
         let digest = call_digest(call, key);
         for _ in 0..MAX_CLAIMS {
-            let known = match self.keys.with(|keys| keys.look(hash, digest)) {
+            let known = match self.keys.with(|keys| keys.lookup(hash, digest)) {
                 Some(known) => known,
                 None => match self.claim(hash, digest, key.made_at_ms).await? {
                     (KeyVerdict::First, claim) => {
@@ -347,7 +347,7 @@
                 Kind::KeyExpired,
                 "the idempotency key is too old, or from the future",
             ))),
-            KeyVerdict::Open | KeyVerdict::First | KeyVerdict::Noted => {
+            KeyVerdict::Pending | KeyVerdict::First | KeyVerdict::Processed => {
                 self.await_outcome(key, digest).await
             }
         }
@@ -374,7 +374,7 @@
         let start = Instant::now();
         while start.elapsed() < OUTCOME_WAIT {
             let changed = self.keys.changed();
-            if let KeyVerdict::Replied(fence) = self.keys.with(|keys| keys.look(key, digest))? {
+            if let KeyVerdict::Replied(fence) = self.keys.with(|keys| keys.lookup(key, digest))? {
                 return Some(self.kept_reply(fence).await);
             }
             let left = OUTCOME_WAIT.saturating_sub(start.elapsed());
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -78,18 +78,22 @@
 }
 
 impl Planner {
-    /// Creates a planner with its services from `kernel`; `writer` identifies this run of the
+    /// Creates a planner with its services from `registry`; `writer` identifies this run of the
     /// process in the log.
-    pub(crate) fn new(kernel: &crate::service_registry::Kernel, vm: Name, writer: Name) -> Self {
-        let metrics: Rc<Metrics> = kernel.find();
+    pub(crate) fn new(
+        registry: &crate::service_registry::ServiceRegistry,
+        vm: Name,
+        writer: Name,
+    ) -> Self {
+        let metrics: Rc<Metrics> = registry.find();
         Self {
-            control: kernel.find(),
-            demand: kernel.find(),
-            fleet: kernel.find(),
-            membership: kernel.find(),
-            engines: EngineClient::new(metrics.leg("reports")),
+            control: registry.find(),
+            demand: registry.find(),
+            fleet: registry.find(),
+            membership: registry.find(),
+            engines: EngineClient::new(metrics.control_traffic_counter("reports")),
             metrics,
-            shutdown: kernel.find(),
+            shutdown: registry.find(),
             vm,
             writer,
             send_states: RefCell::default(),
@@ -142,7 +146,7 @@
         match held {
             Some(claim) if claim.vm == self.vm => true,
             Some(claim) if self.membership.is_alive(&claim.vm) => false,
-            _ => self.membership.is_first_for(group),
+            _ => self.membership.is_assigned(group),
         }
     }
 
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -92,7 +92,7 @@
 ) -> Result<(StatusCode, Bytes), SendError> {
     let exchange = async {
         let mut connection =
-            Connection::open_owned(address, CONNECT_TIMEOUT, RESPONSE_TIMEOUT).await?;
+            Connection::open_abort_on_drop(address, CONNECT_TIMEOUT, RESPONSE_TIMEOUT).await?;
         let response = connection.send(request).await?;
         let status = response.status();
         let body = read_body(response.into_body(), MAX_REPORT_BYTES).await;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -178,7 +178,8 @@
                 }
             }
             let limit = RESPONSE_TIMEOUT + wait;
-            let opened = Connection::open_owned(self.address, CONNECT_TIMEOUT, limit).await?;
+            let opened =
+                Connection::open_abort_on_drop(self.address, CONNECT_TIMEOUT, limit).await?;
             self.exchange(opened, &method, path, &body).await
         };
         let outcome = compio::time::timeout(RESPONSE_TIMEOUT + wait, exchange);
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,7 +1,7 @@
 //! Chooses a runner for each request.
 
 use crate::batch_queue::{BatchQueue, Ticket};
-use crate::completion::Ask;
+use crate::completion::CompletionRequest;
 use crate::control::{Artifact, Control, MemoryLedger};
 use crate::demand::Demand;
 use crate::fleet::{Fleet, Runner};
@@ -138,7 +138,7 @@
     }
 
     /// Counts an arriving request towards the demand, whether or not it is admitted.
-    pub(crate) fn note_arrival(&self, request: &Ask) {
+    pub(crate) fn note_arrival(&self, request: &CompletionRequest) {
         self.demand.note_arrival(
             &request.target.base.model,
             request.priority,
@@ -173,7 +173,7 @@
     /// requests.
     pub(crate) fn choose(
         &self,
-        request: &Ask,
+        request: &CompletionRequest,
         exact_version: bool,
         keep_urgent_slots: bool,
         avoid: &[Name],
@@ -221,7 +221,7 @@
     }
 
     /// Returns how long a request is expected to occupy a slot.
-    pub(crate) fn service_time(&self, request: &Ask) -> Duration {
+    pub(crate) fn service_time(&self, request: &CompletionRequest) -> Duration {
         self.demand.service_time(request.max_tokens())
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// Adds a batch request that found no slot to this VM's queue.
-    pub(crate) fn queue(&self, request: &Ask) -> Ticket {
+    pub(crate) fn queue(&self, request: &CompletionRequest) -> Ticket {
         self.batch_queue
             .enter(&request.target.base.model, request.deadline)
     }
--- a/src/server.rs
+++ b/src/server.rs
@@ -15,11 +15,11 @@
 use crate::metrics::Metrics;
 use crate::operator::Operator;
 use crate::peer::{HEARTBEAT_INTERVAL, Links, PeerService};
-use crate::plain_service::PlainCalls;
+use crate::plain_service::PlainServiceClient;
 use crate::planner::Planner;
 use crate::quarantine::Quarantine;
 use crate::router::Router;
-use crate::service_registry::{Kernel, Service};
+use crate::service_registry::{Service, ServiceRegistry};
 use crate::shutdown::Shutdown;
 use crate::snapshot_writer::SnapshotWriter;
 use crate::stream::{FoldedState, Stream};
@@ -135,19 +135,19 @@
     let operators = bind(config.operator_address).await?;
     let peers = bind(config.peer_address).await?;
     let boot: u64 = rand::random();
-    let kernel = assemble(&config, boot);
-    start_peers(&kernel, &config, boot, peers);
-    start_fleet(&kernel);
-    start_pace(&kernel, config.key_appends_per_s);
-    let keeper = SnapshotWriter::new(&kernel, config.log_retention_ms);
+    let registry = assemble(&config, boot);
+    start_peers(&registry, &config, boot, peers);
+    start_fleet(&registry);
+    start_pace(&registry, config.key_appends_per_s);
+    let keeper = SnapshotWriter::new(&registry, config.log_retention_ms);
     compio::runtime::spawn(keeper.run()).detach();
-    compio::runtime::spawn(kernel.find::<Planner>().run()).detach();
-    compio::runtime::spawn(kernel.find::<Router>().run_batch_yields()).detach();
+    compio::runtime::spawn(registry.find::<Planner>().run()).detach();
+    compio::runtime::spawn(registry.find::<Router>().run_batch_yields()).detach();
 
-    let shutdown: Rc<Shutdown> = kernel.find();
+    let shutdown: Rc<Shutdown> = registry.find();
     let operator_shutdown = Rc::new(Shutdown::default());
-    let operator: Rc<Operator> = kernel.find();
-    let entry: Rc<Entry> = kernel.find();
+    let operator: Rc<Operator> = registry.find();
+    let entry: Rc<Entry> = registry.find();
     compio::runtime::spawn(http::serve(
         operators,
         operator_shutdown.clone(),
@@ -171,69 +171,74 @@
 }
 
 /// Creates every service, those that others need first.
-fn assemble(config: &Config, boot: u64) -> Kernel {
-    let kernel = Kernel::default();
+fn assemble(config: &Config, boot: u64) -> ServiceRegistry {
+    let registry = ServiceRegistry::default();
     let writer: Name = format!("{}/{boot:016x}", config.vm).into();
-    kernel.register(Rc::new(Shutdown::default()));
-    let metrics = kernel.register(Rc::new(Metrics::new()));
-    let log = Rc::new(HttpLog::new(config.log_address, metrics.leg("log")));
+    registry.register(Rc::new(Shutdown::default()));
+    let metrics = registry.register(Rc::new(Metrics::new()));
+    let log = Rc::new(HttpLog::new(
+        config.log_address,
+        metrics.control_traffic_counter("log"),
+    ));
     let control: Rc<ControlStream> =
-        kernel.register(Stream::open("control", log.clone(), writer.clone()));
-    let keys: Rc<KeyStream> = kernel.register(Stream::open("keys", log, writer.clone()));
-    let membership = kernel.register(Rc::new(Membership::new(config.vm.clone())));
-    let fleet = kernel.register(Rc::new(Fleet::new(metrics.leg("reports"))));
-    let demand = kernel.register(Rc::new(Demand::new(membership.clone())));
-    kernel.register(Rc::new(Quarantine::new(control.clone())));
-    kernel.register(Rc::new(Router::new(
+        registry.register(Stream::open("control", log.clone(), writer.clone()));
+    let keys: Rc<KeyStream> = registry.register(Stream::open("keys", log, writer.clone()));
+    let membership = registry.register(Rc::new(Membership::new(config.vm.clone())));
+    let fleet = registry.register(Rc::new(Fleet::new(
+        metrics.control_traffic_counter("reports"),
+    )));
+    let demand = registry.register(Rc::new(Demand::new(membership.clone())));
+    registry.register(Rc::new(Quarantine::new(control.clone())));
+    registry.register(Rc::new(Router::new(
         control.clone(),
         fleet,
         membership.clone(),
         demand,
     )));
-    kernel.register(Rc::new(PlainCalls::new(
+    registry.register(Rc::new(PlainServiceClient::new(
         control,
         keys,
         membership,
-        kernel.find(),
+        registry.find(),
         KeyWindow::for_retention(config.log_retention_ms),
     )));
-    kernel.register(Rc::new(Planner::new(&kernel, config.vm.clone(), writer)));
-    kernel.register(Rc::new(Entry::new(&kernel, config.max_body_bytes)));
+    registry.register(Rc::new(Planner::new(&registry, config.vm.clone(), writer)));
+    registry.register(Rc::new(Entry::new(&registry, config.max_body_bytes)));
     let zone = config.availability_zone.clone();
-    kernel.register(Rc::new(Operator::new(&kernel, config.vm.clone(), zone)));
-    kernel
+    registry.register(Rc::new(Operator::new(&registry, config.vm.clone(), zone)));
+    registry
 }
 
-fn start_peers(kernel: &Kernel, config: &Config, boot: u64, listener: TcpListener) {
-    let membership: Rc<Membership> = kernel.find();
-    let shutdown: Rc<Shutdown> = kernel.find();
+fn start_peers(registry: &ServiceRegistry, config: &Config, boot: u64, listener: TcpListener) {
+    let membership: Rc<Membership> = registry.find();
+    let shutdown: Rc<Shutdown> = registry.find();
     let service = Rc::new(VmPeerService {
         config: config.clone(),
         boot,
-        control: kernel.find(),
-        fleet: kernel.find(),
-        demand: kernel.find(),
+        control: registry.find(),
+        fleet: registry.find(),
+        demand: registry.find(),
         membership: membership.clone(),
         shutdown: shutdown.clone(),
         demand_said_at: Cell::new(Instant::now()),
     });
-    let links = Links::new(service, membership.clone(), &kernel.find::<Metrics>());
+    let links = Links::new(service, membership.clone(), &registry.find::<Metrics>());
     compio::runtime::spawn(links.clone().accept(listener, shutdown)).detach();
     compio::runtime::spawn(links.clone().catch_up()).detach();
-    compio::runtime::spawn(membership.clone().watch_pauses(kernel.find())).detach();
+    compio::runtime::spawn(membership.clone().watch_pauses(registry.find())).detach();
     let list = HttpVmList::new(config.vm_list_address);
     let found = move |peer| compio::runtime::spawn(links.clone().call(peer)).detach();
     compio::runtime::spawn(membership.follow(list, found)).detach();
 }
 
 /// Keeps this VM's share of the appends in step with the number of VMs.
-fn start_pace(kernel: &Kernel, appends_per_s: u32) {
-    let keys: Rc<KeyStream> = kernel.find();
-    let membership: Rc<Membership> = kernel.find();
+fn start_pace(registry: &ServiceRegistry, appends_per_s: u32) {
+    let keys: Rc<KeyStream> = registry.find();
+    let membership: Rc<Membership> = registry.find();
     compio::runtime::spawn(async move {
         loop {
             keys.pace()
-                .share(appends_per_s, 1 + membership.live_peers());
+                .share(appends_per_s, 1 + membership.live_peer_count());
             compio::time::sleep(PACE_INTERVAL).await;
         }
     })
@@ -241,9 +246,9 @@
 }
 
 /// Keeps the fleet in step with the inventory in force.
-fn start_fleet(kernel: &Kernel) {
-    let control: Rc<ControlStream> = kernel.find();
-    let fleet: Rc<Fleet> = kernel.find();
+fn start_fleet(registry: &ServiceRegistry) {
+    let control: Rc<ControlStream> = registry.find();
+    let fleet: Rc<Fleet> = registry.find();
     compio::runtime::spawn(async move {
         let mut revision = 0;
         loop {
@@ -252,7 +257,7 @@
                 control.with(|control| (control.revision, control.inventory.clone()));
             if now != revision {
                 revision = now;
-                fleet.take(inventory.runners());
+                fleet.update_runners(inventory.runners());
                 emit(
                     Event::RevisionInForce,
                     format_args!("revision={revision} models={}", inventory.models.len()),
--- a/src/service_registry.rs
+++ b/src/service_registry.rs
@@ -15,11 +15,11 @@
 ///
 /// Look-ups happen while services start, never on the request path.
 #[derive(Default)]
-pub(crate) struct Kernel {
+pub(crate) struct ServiceRegistry {
     services: RefCell<HashMap<&'static str, Rc<dyn Any>>>,
 }
 
-impl Kernel {
+impl ServiceRegistry {
     /// Registers `service` under its name and returns it.
     pub(crate) fn register<S: Service>(&self, service: Rc<S>) -> Rc<S> {
         self.services
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -19,9 +19,9 @@
 
 /// Keeps one piece of work counted as open until dropped.
 #[derive(Debug)]
-pub struct OpenGuard(Rc<Shutdown>);
+pub struct WorkGuard(Rc<Shutdown>);
 
-impl Drop for OpenGuard {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
@@ -53,9 +53,9 @@
     }
 
     /// Counts a piece of work as open.
-    pub fn enter(self: &Rc<Self>) -> OpenGuard {
+    pub fn enter(self: &Rc<Self>) -> WorkGuard {
         self.open.set(self.open.get() + 1);
-        OpenGuard(self.clone())
+        WorkGuard(self.clone())
     }
 
     /// The number of open pieces of work.
--- a/src/snapshot_writer.rs
+++ b/src/snapshot_writer.rs
@@ -3,7 +3,7 @@
 use crate::events::{Event, emit};
 use crate::membership::Membership;
 use crate::server::ControlStream;
-use crate::service_registry::Kernel;
+use crate::service_registry::ServiceRegistry;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -22,10 +22,10 @@
 
 impl SnapshotWriter {
     /// Creates a writer for a log that retains records for `retention_ms`.
-    pub(crate) fn new(kernel: &Kernel, retention_ms: u64) -> Self {
+    pub(crate) fn new(registry: &ServiceRegistry, retention_ms: u64) -> Self {
         Self {
-            control: kernel.find(),
-            membership: kernel.find(),
+            control: registry.find(),
+            membership: registry.find(),
             interval: Duration::from_millis(retention_ms / SNAPSHOTS_PER_RETENTION),
             started_at: Instant::now(),
         }
@@ -60,7 +60,7 @@
             .control
             .snapshot_age()
             .unwrap_or_else(|| self.started_at.elapsed());
-        let first = self.membership.is_first_for("snapshot");
+        let first = self.membership.is_assigned("snapshot");
         age >= if first {
             self.interval
         } else {
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -14,7 +14,7 @@
 //! a snapshot from a peer. It never skips records, unless the fold does without them
 //! ([`Fold::REQUIRES_SNAPSHOT`]).
 
-use crate::append_pace::Pace;
+use crate::append_pace::AppendPacer;
 use crate::external::{LogError, LogRecord, LogService, Page};
 use crate::inventory::Name;
 use crate::replica::{Envelope, Fold, FoldOutcome, MAX_BATCH, Position, Replica};
@@ -109,7 +109,7 @@
     replica: RefCell<Replica<F>>,
     queue: RefCell<VecDeque<QueuedCommand<F>>>,
     enqueued: Signal,
-    pace: Pace,
+    pace: AppendPacer,
     in_flight: RefCell<Option<InFlightEnvelope<F>>>,
     pending_since: Cell<Option<Instant>>,
     sequence: Cell<u64>,
@@ -139,7 +139,7 @@
             replica: RefCell::default(),
             queue: RefCell::default(),
             enqueued: Signal::default(),
-            pace: Pace::default(),
+            pace: AppendPacer::default(),
             in_flight: RefCell::new(None),
             pending_since: Cell::new(None),
             sequence: Cell::new(0),
@@ -226,7 +226,7 @@
     }
 
     /// The pace of this VM's appends.
-    pub(crate) fn pace(&self) -> &Pace {
+    pub(crate) fn pace(&self) -> &AppendPacer {
         &self.pace
     }
 
@@ -393,7 +393,7 @@
                 }
                 continue;
             }
-            self.pace.turn().await;
+            self.pace.wait_until_due().await;
             if let Some(record) = self.build_envelope() {
                 self.append_until_read_back(record).await;
             }
@@ -440,11 +440,11 @@
         loop {
             match self.append(record.clone()).await {
                 None => {
-                    self.pace.note_taken();
+                    self.pace.record_accepted();
                     break;
                 }
                 Some(Ok(offset)) => {
-                    self.pace.note_taken();
+                    self.pace.record_accepted();
                     self.wait_read_past(offset).await;
                     break;
                 }
@@ -453,7 +453,7 @@
                     break;
                 }
                 Some(Err(LogError::Busy)) if !may_be_written => {
-                    self.pace.note_refused();
+                    self.pace.record_refused();
                     return self.requeue_in_flight();
                 }
                 Some(Err(LogError::Busy | LogError::Refused)) => {}
--- a/src/write_stall.rs
+++ b/src/write_stall.rs
@@ -10,27 +10,27 @@
 
 /// A stream whose stalled writes are noted.
 #[derive(Debug)]
-pub(crate) struct Watched<S> {
+pub(crate) struct MonitoredStream<S> {
     stream: S,
     pending_since: Rc<Cell<Option<Instant>>>,
 }
 
 /// Tells for how long a watched stream has been stalled.
 #[derive(Debug)]
-pub(crate) struct StallWatch(Rc<Cell<Option<Instant>>>);
+pub(crate) struct StallMonitor(Rc<Cell<Option<Instant>>>);
 
-impl StallWatch {
+impl StallMonitor {
     /// How long the stream has taken nothing of what is to be written.
     pub(crate) fn stalled_for(&self) -> Duration {
         self.0.get().map_or(Duration::ZERO, |since| since.elapsed())
     }
 }
 
-impl<S> Watched<S> {
+impl<S> MonitoredStream<S> {
     /// Watches a stream.
-    pub(crate) fn new(stream: S) -> (Self, StallWatch) {
+    pub(crate) fn new(stream: S) -> (Self, StallMonitor) {
         let pending_since = Rc::new(Cell::new(None));
-        let watch = StallWatch(pending_since.clone());
+        let watch = StallMonitor(pending_since.clone());
         let watched = Self {
             stream,
             pending_since,
@@ -48,7 +48,7 @@
     }
 }
 
-impl<S: Read + Unpin> Read for Watched<S> {
+impl<S: Read + Unpin> Read for MonitoredStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -58,7 +58,7 @@
     }
 }
 
-impl<S: Unpin + Write> Write for Watched<S> {
+impl<S: Unpin + Write> Write for MonitoredStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/tests/catalogues.rs
+++ b/tests/catalogues.rs
@@ -1,7 +1,7 @@
 //! The tables of errors and events are whole, and the documents show the same.
 
 use googletest::prelude::*;
-use rattanjunction::{ANSWERS, EVENTS, Event, Kind};
+use rattanjunction::{ERROR_RESPONSES, EVENTS, Event, Kind};
 use std::collections::HashSet;
 
 /// Every kind; a new one fails to compile in `row_of` until it is added here.
@@ -30,15 +30,18 @@
 #[googletest::test]
 fn every_kind_has_one_row() {
     for kind in KINDS {
-        let rows = ANSWERS.iter().filter(|answer| answer.kind == kind).count();
+        let rows = ERROR_RESPONSES
+            .iter()
+            .filter(|answer| answer.kind == kind)
+            .count();
         expect_that!(rows, eq(1), "{kind:?}");
     }
-    expect_that!(ANSWERS.len(), eq(KINDS.len()));
+    expect_that!(ERROR_RESPONSES.len(), eq(KINDS.len()));
 }
 
 #[googletest::test]
 fn a_refusal_that_may_be_sent_again_says_when() {
-    for answer in ANSWERS
+    for answer in ERROR_RESPONSES
         .iter()
         .filter(|answer| [429, 503].contains(&answer.status))
     {
@@ -49,7 +52,7 @@
 #[googletest::test]
 fn errors_page_shows_the_table() {
     let page = std::fs::read_to_string("docs/ERRORS.md").expect("the page exists");
-    for answer in ANSWERS {
+    for answer in ERROR_RESPONSES {
         let retry = answer
             .retry_after_s
             .map_or("-".to_owned(), |seconds| seconds.to_string());
--- a/workbench/src/engine.rs
+++ b/workbench/src/engine.rs
@@ -177,7 +177,7 @@
     }
 
     async fn set_faults(&self, request: Request<Incoming>) -> Response<Body> {
-        match http_json::json_of::<EngineFaults>(request).await {
+        match http_json::read_json::<EngineFaults>(request).await {
             Some(faults) => {
                 *self.faults.borrow_mut() = faults;
                 http_json::ok(&json!({}))
@@ -216,7 +216,7 @@
     }
 
     async fn order(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let Some(ordered) = http_json::json_of::<Ordered>(request).await else {
+        let Some(ordered) = http_json::read_json::<Ordered>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         let stale = self.shape.checks_fencing && ordered.fence < self.fence.get();
@@ -295,7 +295,7 @@
 
     async fn complete(self: Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         let id = header(&request, "x-request-id");
-        let Some(body) = http_json::json_of::<Value>(request).await else {
+        let Some(body) = http_json::read_json::<Value>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         let Some(name) = body["model"].as_str() else {
--- a/workbench/src/http_json.rs
+++ b/workbench/src/http_json.rs
@@ -32,13 +32,13 @@
 }
 
 /// Reads a request's body whole.
-pub async fn body_of(request: Request<Incoming>) -> Option<Bytes> {
+pub async fn collect_body(request: Request<Incoming>) -> Option<Bytes> {
     Some(request.into_body().collect().await.ok()?.to_bytes())
 }
 
 /// Reads a request's body as JSON.
-pub async fn json_of<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
-    serde_json::from_slice(&body_of(request).await?).ok()
+pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
+    serde_json::from_slice(&collect_body(request).await?).ok()
 }
 
 /// A JSON answer with status 200.
--- a/workbench/src/platform.rs
+++ b/workbench/src/platform.rs
@@ -171,7 +171,7 @@
 
     /// Takes over the fields that the body names; the others stay.
     async fn set_state(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(change) = http_json::json_of::<Value>(request).await else {
+        let Some(change) = http_json::read_json::<Value>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         let mut state = json!(*self.state.borrow());
@@ -202,7 +202,7 @@
         if let Some(fault) = self.log_fault().await {
             return fault;
         }
-        let Some(data) = http_json::json_of::<Box<RawValue>>(request).await else {
+        let Some(data) = http_json::read_json::<Box<RawValue>>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         if !self.take_append() {
@@ -307,7 +307,7 @@
     }
 
     async fn set_list(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(list) = http_json::json_of::<Value>(request).await else {
+        let Some(list) = http_json::read_json::<Value>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         self.journal.note("vms", json!({"list": list}));
@@ -317,7 +317,7 @@
 
     /// Holds the call for as long as the load takes.
     async fn load(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(body) = http_json::json_of::<Value>(request).await else {
+        let Some(body) = http_json::read_json::<Value>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         let mib = body["mib"].as_f64().unwrap_or(0.0);
--- a/workbench/src/service.rs
+++ b/workbench/src/service.rs
@@ -46,7 +46,7 @@
         }
         let path = request.uri().path().to_owned();
         let id = header(&request, "x-request-id");
-        let body: Value = http_json::json_of(request).await.unwrap_or(Value::Null);
+        let body: Value = http_json::read_json(request).await.unwrap_or(Value::Null);
         // Noted at the start: from here on the call has run.
         self.journal
             .note("run", json!({"path": path, "request": id, "body": body}));
--- a/workbench/src/site/caller.rs
+++ b/workbench/src/site/caller.rs
@@ -17,7 +17,7 @@
 
 /// A request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct CallerRequest {
     /// Its id.
     pub id: String,
     /// The method.
@@ -31,10 +31,10 @@
     /// Whether the body is sent in chunks.
     pub is_chunked: bool,
     /// When the caller leaves, whatever has come.
-    pub leave_after: Option<Duration>,
+    pub disconnect_after: Option<Duration>,
 }
 
-impl Ask {
+impl CallerRequest {
     /// A request without a body.
     pub fn get(path: &str) -> Self {
         Self {
@@ -44,7 +44,7 @@
             headers: Vec::new(),
             body: Vec::new(),
             is_chunked: false,
-            leave_after: None,
+            disconnect_after: None,
         }
     }
 
@@ -83,11 +83,11 @@
     /// The body as far as it came.
     pub body: String,
     /// Whether it ended as a whole answer does.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// When each piece of the body came, since the request.
-    pub pieces: Vec<Duration>,
+    pub chunk_times: Vec<Duration>,
     /// How long it all took.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 impl Answer {
@@ -110,17 +110,22 @@
 
 impl Caller {
     /// Sends a request and reads what comes back.
-    pub async fn ask(&self, address: SocketAddr, ask: &Ask) -> Answer {
+    pub async fn ask(&self, address: SocketAddr, ask: &CallerRequest) -> Answer {
         let mut answer = Answer::default();
         let began = Instant::now();
-        let patience = ask.leave_after.unwrap_or(PATIENCE);
+        let patience = ask.disconnect_after.unwrap_or(PATIENCE);
         // Without an end the answer tells by what is missing.
         let _ = compio::time::timeout(patience, self.exchange(address, ask, &mut answer)).await;
-        answer.took = began.elapsed();
+        answer.duration = began.elapsed();
         answer
     }
 
-    async fn exchange(&self, address: SocketAddr, ask: &Ask, answer: &mut Answer) -> Option<()> {
+    async fn exchange(
+        &self,
+        address: SocketAddr,
+        ask: &CallerRequest,
+        answer: &mut Answer,
+    ) -> Option<()> {
         let began = Instant::now();
         let kept = self.kept.borrow_mut().remove(&address);
         let mut connection = match kept {
@@ -136,10 +141,10 @@
         let mut body = response.into_body().into_data_stream();
         while let Some(piece) = body.next().await {
             let piece: Bytes = piece.ok()?;
-            answer.pieces.push(began.elapsed());
+            answer.chunk_times.push(began.elapsed());
             answer.body.push_str(&String::from_utf8_lossy(&piece));
         }
-        answer.is_whole = true;
+        answer.is_complete = true;
         if answer.header("connection") != "close" {
             self.kept.borrow_mut().insert(address, connection);
         }
@@ -147,7 +152,7 @@
     }
 }
 
-fn request(ask: &Ask) -> Request<Body> {
+fn request(ask: &CallerRequest) -> Request<Body> {
     let body = if ask.is_chunked {
         let (mut sender, body) = Body::channel(ask.body.len());
         for chunk in ask.body.chunks(3) {
--- a/workbench/src/site/mod.rs
+++ b/workbench/src/site/mod.rs
@@ -6,8 +6,10 @@
 mod server;
 mod store;
 
-pub use caller::{Answer, Ask, Caller};
-pub use server::{Act, Call, Holds, Seen, ServerStandIn, signed};
+pub use caller::{Answer, Caller, CallerRequest};
+pub use server::{
+    LoadedModels, ReceivedRequest, ScriptStep, ServerEvent, ServerStandIn, signed_answer,
+};
 pub use store::{StoreFaults, StoreStandIn};
 
 use crate::cluster::Cluster;
@@ -55,7 +57,7 @@
 
 impl Site {
     /// Starts the store and `servers`, each a service's name with what it holds.
-    pub async fn start(servers: Vec<(&str, Holds)>) -> Self {
+    pub async fn start(servers: Vec<(&str, LoadedModels)>) -> Self {
         let ip = Cluster::pick_ip();
         let folder = std::env::temp_dir().join(format!("site-{}-{ip}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a temporary folder can be made");
@@ -78,17 +80,17 @@
     }
 
     /// Starts one more backend server and enters it in the directory.
-    pub async fn add_server(&mut self, service: &str, holds: Holds) -> Rc<ServerStandIn> {
+    pub async fn add_server(&mut self, service: &str, holds: LoadedModels) -> Rc<ServerStandIn> {
         let index = self.servers.len();
         let address = SocketAddr::new(self.ip, SERVER_PORT + index as u16);
         let server = ServerStandIn::start(address, &format!("i-{index}"), service, holds).await;
-        self.enter(&server, "ready");
+        self.put_entry(&server, "ready");
         self.servers.push(server.clone());
         server
     }
 
     /// Writes a server's entry.
-    pub fn enter(&self, server: &ServerStandIn, state: &str) {
+    pub fn put_entry(&self, server: &ServerStandIn, state: &str) {
         let entry = server.entry(state);
         self.store.put("keyed.servers", &server.id, &entry);
     }
@@ -207,14 +209,18 @@
 
     /// Whether a VM says that it takes connections.
     pub async fn is_ready(&self, index: usize) -> bool {
-        let ask = Ask::get("/-/readiness");
-        Caller::default().ask(self.ready(index), &ask).await.status == Some(200)
+        let request = CallerRequest::get("/-/readiness");
+        Caller::default()
+            .request(self.ready(index), &request)
+            .await
+            .status
+            == Some(200)
     }
 
     /// A gauge or counter of a VM, by its name without the prefix of all.
     pub async fn metric(&self, index: usize, name: &str) -> Option<f64> {
-        let metrics = Ask::get("/metrics");
-        let answer = Caller::default().ask(self.ready(index), &metrics).await;
+        let metrics = CallerRequest::get("/metrics");
+        let answer = Caller::default().request(self.ready(index), &metrics).await;
         let prefix = format!("rattanjunction_{name} ");
         let mut lines = answer.body.lines();
         let value = lines.find_map(|line| line.strip_prefix(&prefix))?;
@@ -285,7 +291,7 @@
 }
 
 /// A service with model runners that have room for two of its models.
-pub fn engine(name: &str, models: &[(&str, u32)]) -> Value {
+pub fn runner_service(name: &str, models: &[(&str, u32)]) -> Value {
     let models: Vec<Value> = models
         .iter()
         .map(|(name, adapters)| {
--- a/workbench/src/site/server.rs
+++ b/workbench/src/site/server.rs
@@ -25,11 +25,11 @@
 const MAX_HEADERS: usize = 64;
 
 /// Models with their adapters.
-pub type Holds = Vec<(&'static str, Vec<&'static str>)>;
+pub type LoadedModels = Vec<(&'static str, Vec<&'static str>)>;
 
 /// One request as it came.
 #[derive(Clone, Debug, Default)]
-pub struct Call {
+pub struct ReceivedRequest {
     /// The method.
     pub method: String,
     /// The path with its query.
@@ -40,7 +40,7 @@
     pub body: Vec<u8>,
 }
 
-impl Call {
+impl ReceivedRequest {
     /// A header's value, or nothing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
@@ -49,7 +49,7 @@
 
 /// What a server does next on a connection.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum ScriptStep {
     /// Sends bytes.
     Write(Vec<u8>),
     /// Waits; ends early when the other end leaves.
@@ -62,18 +62,18 @@
 
 /// What happened at a server.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum ServerEvent {
     /// It began to run a request.
-    Ran(Call),
+    Ran(ReceivedRequest),
     /// It refused a request without running it.
-    Refused(Call),
+    Refused(ReceivedRequest),
     /// The other end left while it was at work on the request with this id.
     Left(String, Instant),
     /// An order, with the status that it got.
     Order(Value, u16),
 }
 
-type Script = Box<dyn Fn(&Call) -> Vec<Act>>;
+type Script = Box<dyn Fn(&ReceivedRequest) -> Vec<ScriptStep>>;
 
 /// The server's stand-in.
 pub struct ServerStandIn {
@@ -88,7 +88,7 @@
     fence: Cell<u64>,
     scripts: RefCell<VecDeque<Script>>,
     script: RefCell<Option<Script>>,
-    seen: RefCell<Vec<Seen>>,
+    seen: RefCell<Vec<ServerEvent>>,
     connections: Cell<u64>,
     overruns: Cell<u64>,
     is_dead: Cell<bool>,
@@ -103,7 +103,7 @@
 }
 
 /// A whole signed answer with a length.
-pub fn signed(id: &str, status: u16, body: &str) -> Vec<u8> {
+pub fn signed_answer(id: &str, status: u16, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status} Answer\r\nX-Attempt-Id: {id}\r\nX-Server-Signature: sig-{id}\r\n\
          Keep-Alive: timeout=5\r\nX-Of-The-Server: kept\r\nContent-Length: {}\r\n\r\n{body}",
@@ -112,11 +112,11 @@
     .into_bytes()
 }
 
-fn bare(status: u16, headers: &str, body: &str) -> Vec<Act> {
+fn bare(status: u16, headers: &str, body: &str) -> Vec<ScriptStep> {
     let length = body.len();
     let answer =
         format!("HTTP/1.1 {status} Answer\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
-    vec![Act::Write(answer.into_bytes())]
+    vec![ScriptStep::Write(answer.into_bytes())]
 }
 
 impl ServerStandIn {
@@ -124,7 +124,7 @@
         address: SocketAddr,
         id: &str,
         service: &str,
-        holds: Holds,
+        holds: LoadedModels,
     ) -> Rc<Self> {
         let owned = |names: Vec<&str>| names.into_iter().map(str::to_owned).collect();
         let holds = holds.into_iter();
@@ -179,12 +179,12 @@
     }
 
     /// Answers the next request by a script of its own.
-    pub fn script_next(&self, script: impl Fn(&Call) -> Vec<Act> + 'static) {
+    pub fn script_next(&self, script: impl Fn(&ReceivedRequest) -> Vec<ScriptStep> + 'static) {
         self.scripts.borrow_mut().push_back(Box::new(script));
     }
 
     /// Answers all requests by a script, but for those that have one of their own.
-    pub fn script(&self, script: impl Fn(&Call) -> Vec<Act> + 'static) {
+    pub fn script(&self, script: impl Fn(&ReceivedRequest) -> Vec<ScriptStep> + 'static) {
         *self.script.borrow_mut() = Some(Box::new(script));
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Loses a model without an order, as an engine that fails does.
-    pub fn forget(&self, model: &str) {
+    pub fn lose_model(&self, model: &str) {
         self.holds.borrow_mut().retain(|(name, _)| name != model);
     }
 
@@ -207,15 +207,15 @@
     }
 
     /// What happened so far.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<ServerEvent> {
         self.seen.borrow().clone()
     }
 
     /// The requests that it ran.
-    pub fn runs(&self) -> Vec<Call> {
+    pub fn runs(&self) -> Vec<ReceivedRequest> {
         let seen = self.seen.borrow();
         let runs = seen.iter().filter_map(|seen| match seen {
-            Seen::Ran(call) => Some(call.clone()),
+            ServerEvent::Ran(call) => Some(call.clone()),
             _ => None,
         });
         runs.collect()
@@ -225,7 +225,7 @@
     pub fn orders(&self) -> Vec<(Value, u16)> {
         let seen = self.seen.borrow();
         let orders = seen.iter().filter_map(|seen| match seen {
-            Seen::Order(order, status) => Some((order.clone(), *status)),
+            ServerEvent::Order(order, status) => Some((order.clone(), *status)),
             _ => None,
         });
         orders.collect()
@@ -255,7 +255,7 @@
         self.overruns.get()
     }
 
-    fn note(&self, seen: Seen) {
+    fn note(&self, seen: ServerEvent) {
         self.seen.borrow_mut().push(seen);
     }
 
@@ -286,10 +286,10 @@
         while let Some(call) = self.read_call(&mut stream, &mut read).await {
             for act in self.answer(&call) {
                 let goes_on = match act {
-                    Act::Write(bytes) => stream.write_all(bytes).await.0.is_ok(),
-                    Act::Wait(time) => self.wait(&mut stream, &mut read, time).await,
-                    Act::Close => false,
-                    Act::Reset => {
+                    ScriptStep::Write(bytes) => stream.write_all(bytes).await.0.is_ok(),
+                    ScriptStep::Wait(time) => self.wait(&mut stream, &mut read, time).await,
+                    ScriptStep::Close => false,
+                    ScriptStep::Reset => {
                         // With nothing to linger for, closing it sends a reset.
                         let _ = stream.set_zero_linger();
                         false
@@ -297,7 +297,7 @@
                 };
                 if !goes_on || self.is_dead.get() {
                     let id = call.header("x-attempt-id").to_owned();
-                    self.note(Seen::Left(id, Instant::now()));
+                    self.note(ServerEvent::Left(id, Instant::now()));
                     return;
                 }
             }
@@ -318,7 +318,11 @@
         }
     }
 
-    async fn read_call(&self, stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<Call> {
+    async fn read_call(
+        &self,
+        stream: &mut TcpStream,
+        read: &mut Vec<u8>,
+    ) -> Option<ReceivedRequest> {
         loop {
             if let Some((call, length)) = parse(read) {
                 read.drain(..length);
@@ -343,7 +347,7 @@
         None
     }
 
-    fn answer(&self, call: &Call) -> Vec<Act> {
+    fn answer(&self, call: &ReceivedRequest) -> Vec<ScriptStep> {
         match call.path.as_str() {
             "/-/report" => return bare(200, "", &self.report().to_string()),
             "/-/order" => return self.take_order(call),
@@ -356,16 +360,16 @@
         };
         let is_meant = expected.is_empty() || expected == self.id;
         if !is_meant || (!model.is_empty() && !self.holds(model, adapter)) {
-            self.note(Seen::Refused(call.clone()));
+            self.note(ServerEvent::Refused(call.clone()));
             return bare(421, &format!("X-Instance-Id: {}\r\n", self.id), "");
         }
-        self.note(Seen::Ran(call.clone()));
+        self.note(ServerEvent::Ran(call.clone()));
         if let Some(script) = self.scripts.borrow_mut().pop_front() {
             return script(call);
         }
         match &*self.script.borrow() {
             Some(script) => script(call),
-            None => vec![Act::Write(signed(
+            None => vec![ScriptStep::Write(signed_answer(
                 call.header("x-attempt-id"),
                 200,
                 &format!("{} says {}", self.id, call.path),
@@ -388,10 +392,10 @@
         })
     }
 
-    fn take_order(&self, call: &Call) -> Vec<Act> {
+    fn take_order(&self, call: &ReceivedRequest) -> Vec<ScriptStep> {
         let order: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
         let status = self.judge(&order);
-        self.note(Seen::Order(order, status));
+        self.note(ServerEvent::Order(order, status));
         bare(status, "", "")
     }
 
@@ -441,7 +445,7 @@
 }
 
 /// A request and its length, once it is there whole.
-fn parse(bytes: &[u8]) -> Option<(Call, usize)> {
+fn parse(bytes: &[u8]) -> Option<(ReceivedRequest, usize)> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let httparse::Status::Complete(head) = request.parse(bytes).ok()? else {
@@ -460,7 +464,7 @@
         .and_then(|length| length.parse().ok())
         .unwrap_or(0);
     let body = bytes.get(head..head + length)?.to_vec();
-    let call = Call {
+    let call = ReceivedRequest {
         method: request.method?.to_owned(),
         path: request.path?.to_owned(),
         headers,
--- a/workbench/src/site/store.rs
+++ b/workbench/src/site/store.rs
@@ -217,7 +217,7 @@
     async fn take_append(&self, request: Request<Incoming>) -> Response<Body> {
         let topic: String = http_json::query(&request, "topic").unwrap_or_default();
         let at: Option<u64> = http_json::query(&request, "at");
-        let Some(mut body) = http_json::body_of(request).await else {
+        let Some(mut body) = http_json::collect_body(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         let end = self.len(&topic) as u64;
@@ -233,7 +233,7 @@
     }
 
     async fn join(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(join) = http_json::json_of::<Join>(request).await else {
+        let Some(join) = http_json::read_json::<Join>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         let mut groups = self.groups.borrow_mut();
@@ -253,7 +253,7 @@
     }
 
     async fn leave(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(leave) = http_json::json_of::<Leave>(request).await else {
+        let Some(leave) = http_json::read_json::<Leave>(request).await else {
             return http_json::status(StatusCode::BAD_REQUEST);
         };
         if let Some(members) = self.groups.borrow_mut().get_mut(&leave.group)
--- a/workbench/tests/answers.rs
+++ b/workbench/tests/answers.rs
@@ -458,7 +458,7 @@
             compio::runtime::spawn(async move {
                 sender.send("some".into()).await;
                 if whole {
-                    sender.end_whole();
+                    sender.mark_complete();
                 }
             })
             .detach();
--- a/workbench/tests/site_callers.rs
+++ b/workbench/tests/site_callers.rs
@@ -3,7 +3,9 @@
 use googletest::prelude::*;
 use serde_json::{Value, json};
 use workbench::cluster::block_on;
-use workbench::site::{Answer, Ask, Call, Caller, Site, organisation, plain, route};
+use workbench::site::{
+    Answer, Caller, CallerRequest, ReceivedRequest, Site, organisation, plain, route,
+};
 
 /// The header with a caller's key.
 const KEY: &str = "X-Credential";
@@ -40,12 +42,12 @@
     ])
 }
 
-async fn ask(site: &Site, ask: Ask) -> Answer {
-    Caller::default().ask(site.front(0), &ask).await
+async fn request(site: &Site, request: CallerRequest) -> Answer {
+    Caller::default().request(site.front(0), &request).await
 }
 
 /// The last request that the server ran.
-fn last_run(site: &Site) -> Call {
+fn last_run(site: &Site) -> ReceivedRequest {
     let runs = site.servers[0].runs();
     runs.last().cloned().expect("a request ran")
 }
@@ -55,7 +57,7 @@
     site.wait(
         "the key is answered as the configuration says",
         async || {
-            let answer = ask(site, Ask::get("/books").with(KEY, key)).await;
+            let answer = request(site, CallerRequest::get("/books").with(KEY, key)).await;
             answer.status == Some(status)
         },
     )
@@ -71,7 +73,11 @@
             ("spare-of-north", "north"),
             ("key-of-south", "south"),
         ] {
-            let answer = ask(&site, Ask::post("/orders/1", "one").with(KEY, key)).await;
+            let answer = request(
+                &site,
+                CallerRequest::post("/orders/1", "one").with(KEY, key),
+            )
+            .await;
             expect_that!(answer.status, some(eq(200)));
             let run = last_run(&site);
             expect_that!(run.header(ORGANISATION), eq(name));
@@ -86,19 +92,19 @@
         let site = keyed_site(two_organisations()).await;
         let before = site.servers[0].runs().len();
         let asks = [
-            Ask::get("/books"),
-            Ask::get("/books").with(KEY, ""),
-            Ask::get("/books").with(KEY, "key-of-nobody"),
-            Ask::get("/books").with(KEY, "key-of-north and more"),
-            Ask::get("/books").with(KEY, "key-of-nort"),
-            Ask::get("/books")
+            CallerRequest::get("/books"),
+            CallerRequest::get("/books").with(KEY, ""),
+            CallerRequest::get("/books").with(KEY, "key-of-nobody"),
+            CallerRequest::get("/books").with(KEY, "key-of-north and more"),
+            CallerRequest::get("/books").with(KEY, "key-of-nort"),
+            CallerRequest::get("/books")
                 .with(KEY, "key-of-north")
                 .with(KEY, "key-of-south"),
-            Ask::get("/books").with(KEY, "schl\u{fc}ssel"),
-            Ask::get("/books").with("X-Tenant", "north"),
+            CallerRequest::get("/books").with(KEY, "schl\u{fc}ssel"),
+            CallerRequest::get("/books").with("X-Tenant", "north"),
         ];
         for asked in asks {
-            let answer = ask(&site, asked.clone()).await;
+            let answer = request(&site, asked.clone()).await;
             expect_that!(answer.status, some(eq(401)), "{asked:?}");
         }
         expect_that!(site.servers[0].runs().len(), eq(before));
@@ -109,7 +115,7 @@
 fn what_a_caller_says_of_its_organisation_is_dropped() {
     block_on(async {
         let site = keyed_site(two_organisations()).await;
-        let keyed = || Ask::get("/books").with(KEY, "key-of-north");
+        let keyed = || CallerRequest::get("/books").with(KEY, "key-of-north");
         let asks = [
             keyed().with("X-Tenant", "south"),
             keyed().with("x-tenant", "south").with("X-TENANT", "south"),
@@ -119,7 +125,7 @@
             keyed().with("X-Tenant", "s\u{fc}d"),
         ];
         for asked in asks {
-            let answer = ask(&site, asked.clone()).await;
+            let answer = request(&site, asked.clone()).await;
             expect_that!(answer.status, some(eq(200)), "{asked:?}");
             let run = last_run(&site);
             expect_that!(run.header(ORGANISATION), eq("north"), "{asked:?}");
@@ -132,11 +138,15 @@
 fn a_public_route_needs_no_key_and_passes_none_on() {
     block_on(async {
         let site = keyed_site(two_organisations()).await;
-        let answer = ask(&site, Ask::get("/open/books").with("X-Tenant", "south")).await;
+        let answer = request(
+            &site,
+            CallerRequest::get("/open/books").with("X-Tenant", "south"),
+        )
+        .await;
         expect_that!(answer.status, some(eq(200)));
         expect_that!(last_run(&site).header(ORGANISATION), eq(""));
-        let unknown = Ask::get("/open/books").with(KEY, "key-of-nobody");
-        let answer = ask(&site, unknown).await;
+        let unknown = CallerRequest::get("/open/books").with(KEY, "key-of-nobody");
+        let answer = request(&site, unknown).await;
         expect_that!(answer.status, some(eq(200)));
         expect_that!(last_run(&site).header("x-credential"), eq(""));
     });
@@ -156,8 +166,8 @@
             ]),
         );
         wait_for_status(&site, "key-of-south", 401).await;
-        let moved = Ask::get("/books").with(KEY, "spare-of-north");
-        expect_that!(ask(&site, moved).await.status, some(eq(200)));
+        let moved = CallerRequest::get("/books").with(KEY, "spare-of-north");
+        expect_that!(request(&site, moved).await.status, some(eq(200)));
         expect_that!(last_run(&site).header(ORGANISATION), eq("south"));
         configure(&mut site, two_organisations());
         wait_for_status(&site, "key-of-south", 200).await;
@@ -172,9 +182,13 @@
             organisation("south", &["key-of-both"]),
         ]))
         .await;
-        let both = ask(&site, Ask::get("/books").with(KEY, "key-of-both")).await;
+        let both = request(&site, CallerRequest::get("/books").with(KEY, "key-of-both")).await;
         expect_that!(both.status, some(eq(401)));
-        let own = ask(&site, Ask::get("/books").with(KEY, "key-of-north")).await;
+        let own = request(
+            &site,
+            CallerRequest::get("/books").with(KEY, "key-of-north"),
+        )
+        .await;
         expect_that!(own.status, some(eq(200)));
         site.wait("the log names who lists the key", async || {
             let lines = site.log(0).into_iter().map(|line| line.to_string());
@@ -189,15 +203,17 @@
 fn no_log_line_and_no_metric_holds_a_key() {
     block_on(async {
         let site = keyed_site(two_organisations()).await;
-        let known = Ask::get("/books").with(KEY, "key-of-north");
-        expect_that!(ask(&site, known).await.status, some(eq(200)));
-        let unknown = Ask::get("/books").with(KEY, "key-of-nobody");
-        expect_that!(ask(&site, unknown).await.status, some(eq(401)));
+        let known = CallerRequest::get("/books").with(KEY, "key-of-north");
+        expect_that!(request(&site, known).await.status, some(eq(200)));
+        let unknown = CallerRequest::get("/books").with(KEY, "key-of-nobody");
+        expect_that!(request(&site, unknown).await.status, some(eq(401)));
         let text = site.log(0).into_iter().map(|line| line.to_string());
         let text: String = text.collect();
         expect_that!(text.contains("key-of"), eq(false));
         let caller = Caller::default();
-        let metrics = caller.ask(site.ready(0), &Ask::get("/metrics")).await;
+        let metrics = caller
+            .request(site.ready(0), &CallerRequest::get("/metrics"))
+            .await;
         expect_that!(metrics.body.contains("key-of"), eq(false));
     });
 }
@@ -207,12 +223,12 @@
     block_on(async {
         let mut site = keyed_site(two_organisations()).await;
         let caller = Caller::default();
-        let keyed = || Ask::get("/books").with(KEY, "key-of-south");
-        let first = caller.ask(site.front(0), &keyed()).await;
+        let keyed = || CallerRequest::get("/books").with(KEY, "key-of-south");
+        let first = caller.request(site.front(0), &keyed()).await;
         expect_that!(first.status, some(eq(200)));
         configure(&mut site, json!([organisation("north", &["key-of-north"])]));
         wait_for_status(&site, "key-of-south", 401).await;
-        let second = caller.ask(site.front(0), &keyed()).await;
+        let second = caller.request(site.front(0), &keyed()).await;
         expect_that!(second.status, some(eq(401)));
     });
 }
@@ -229,7 +245,7 @@
             .remove("priority");
         let site = keyed_site(json!([urgent, plain])).await;
         for (key, priority) in [("key-of-north", "0"), ("key-of-south", "1")] {
-            ask(&site, Ask::get("/books").with(KEY, key)).await;
+            request(&site, CallerRequest::get("/books").with(KEY, key)).await;
             expect_that!(last_run(&site).header("x-request-priority"), eq(priority));
         }
     });
@@ -274,28 +290,28 @@
         };
         // VMs that have just started grant little, since they remember no grants.
         site.wait("a request of the organisation is granted", async || {
-            let asked = Ask::post("/orders/first", "one")
+            let asked = CallerRequest::post("/orders/first", "one")
                 .with("X-Token-Usage", "700,280")
                 .with(KEY, "key-of-north");
-            ask(&site, asked).await.status == Some(200)
+            request(&site, asked).await.status == Some(200)
         })
         .await;
         let caller = Caller::default();
         let mut refused = 0;
         for round in 0..30 {
             for vm in 0..QUOTA_VMS {
-                let asked = Ask::post(&format!("/orders/{round}"), "one")
+                let asked = CallerRequest::post(&format!("/orders/{round}"), "one")
                     .with("X-Token-Usage", "700,280")
                     .with(KEY, "key-of-north");
-                let answer = caller.ask(site.front(vm), &asked).await;
+                let answer = caller.request(site.front(vm), &asked).await;
                 if answer.status == Some(429) {
                     refused += 1;
                     let after: f64 = answer.header("retry-after").parse().expect("a number");
                     expect_that!(after, gt(0.0));
                 }
             }
-            let other = Ask::get("/books").with(KEY, "key-of-south");
-            let answer = caller.ask(site.front(0), &other).await;
+            let other = CallerRequest::get("/books").with(KEY, "key-of-south");
+            let answer = caller.request(site.front(0), &other).await;
             expect_that!(answer.status, some(eq(200)));
         }
         expect_that!(of_north(&site), le(ALLOWED));
--- a/workbench/tests/site_fleet.rs
+++ b/workbench/tests/site_fleet.rs
@@ -97,7 +97,7 @@
         let began = Instant::now();
         for change in 1..=CHANGES {
             let state = if change % 2 == 1 { "draining" } else { "ready" };
-            site.enter(&site.servers[1], state);
+            site.put_entry(&site.servers[1], state);
             site.wait("all VMs know of it", async || {
                 (0..ZONE_VMS).all(|index| listed(&site, index) == before[index] + change)
             })
--- a/workbench/tests/site_once.rs
+++ b/workbench/tests/site_once.rs
@@ -4,7 +4,10 @@
 use serde_json::json;
 use std::time::Duration;
 use workbench::cluster::block_on;
-use workbench::site::{Act, Answer, Ask, Call, Caller, Site, StoreFaults, plain, route, signed};
+use workbench::site::{
+    Answer, Caller, CallerRequest, ReceivedRequest, ScriptStep, Site, StoreFaults, plain, route,
+    signed_answer,
+};
 
 async fn site(servers: usize) -> Site {
     site_with(servers, StoreFaults::default()).await
@@ -34,42 +37,50 @@
         .count()
 }
 
-async fn ask(site: &Site, caller: &Caller, ask: &Ask) -> Answer {
-    caller.ask(site.front(0), ask).await
+async fn request(site: &Site, caller: &Caller, request: &CallerRequest) -> Answer {
+    caller.request(site.front(0), request).await
 }
 
 /// The answer of a server whose places are taken.
 const FULL: &str = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// What a server does, in words and in acts.
-type Spoilt = (&'static str, fn(&Call) -> Vec<Act>);
+type Spoilt = (&'static str, fn(&ReceivedRequest) -> Vec<ScriptStep>);
 
 /// All that a server may answer which is not the whole answer to its request.
 fn spoilt() -> Vec<Spoilt> {
     vec![
-        ("closes without an answer", |_| vec![Act::Close]),
+        ("closes without an answer", |_| vec![ScriptStep::Close]),
         ("closes within the head", |_| {
-            vec![Act::Write(b"HTTP/1.1 200 OK\r\nX-Att".to_vec()), Act::Close]
+            vec![
+                ScriptStep::Write(b"HTTP/1.1 200 OK\r\nX-Att".to_vec()),
+                ScriptStep::Close,
+            ]
         }),
         ("closes within the body", |call| {
-            let mut answer = signed(call.header("x-attempt-id"), 200, "a body that is cut off");
+            let mut answer =
+                signed_answer(call.header("x-attempt-id"), 200, "a body that is cut off");
             answer.truncate(answer.len() - 5);
-            vec![Act::Write(answer), Act::Close]
+            vec![ScriptStep::Write(answer), ScriptStep::Close]
         }),
         ("sends what is no answer", |_| {
             vec![
-                Act::Write(b"\x00\x01 what is this\r\n\r\n".to_vec()),
-                Act::Close,
+                ScriptStep::Write(b"\x00\x01 what is this\r\n\r\n".to_vec()),
+                ScriptStep::Close,
             ]
         }),
         ("answers another request", |_| {
-            vec![Act::Write(signed("0123456789abcdef", 200, "of another"))]
+            vec![ScriptStep::Write(signed_answer(
+                "0123456789abcdef",
+                200,
+                "of another",
+            ))]
         }),
         ("does not sign", |call| {
             let id = call.header("x-attempt-id");
             let answer =
                 format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nContent-Length: 2\r\n\r\nno");
-            vec![Act::Write(answer.into_bytes())]
+            vec![ScriptStep::Write(answer.into_bytes())]
         }),
     ]
 }
@@ -83,8 +94,8 @@
             for server in &site.servers {
                 server.script(script);
             }
-            let order = Ask::post("/orders/1", what);
-            let answer = ask(&site, &caller, &order).await;
+            let order = CallerRequest::post("/orders/1", what);
+            let answer = request(&site, &caller, &order).await;
             expect_that!(runs_of(&site, &order.id), eq(1), "{what}");
             expect_that!(answer.promises_not_run(), eq(false), "{what}: {answer:?}");
             expect_that!(answer.status, some(ge(500)), "{what}: {answer:?}");
@@ -101,9 +112,9 @@
             site.servers[0].script(script);
             let before = site.servers[0].runs().len();
             let ask_one = async || {
-                let answer = ask(&site, &caller, &Ask::get("/x")).await;
+                let answer = request(&site, &caller, &CallerRequest::get("/x")).await;
                 expect_that!(answer.status, some(eq(200)), "{what}: {answer:?}");
-                expect_that!(answer.is_whole, eq(true), "{what}");
+                expect_that!(answer.is_complete, eq(true), "{what}");
                 expect_that!(answer.body, eq("i-1 says /x"), "{what}");
             };
             // A server that failed is passed over for a while.
@@ -123,15 +134,15 @@
         site.servers[0].script(|call| {
             let id = call.header("x-attempt-id");
             vec![
-                Act::Write(signed(id, 200, &format!("first of {id}"))),
-                Act::Wait(Duration::from_millis(30)),
-                Act::Write(signed(id, 200, "second")),
+                ScriptStep::Write(signed_answer(id, 200, &format!("first of {id}"))),
+                ScriptStep::Wait(Duration::from_millis(30)),
+                ScriptStep::Write(signed_answer(id, 200, "second")),
             ]
         });
         let caller = Caller::default();
         for pause_ms in [0, 0, 10, 30, 50, 100, 0] {
-            let order = Ask::post("/orders/1", "one");
-            let answer = ask(&site, &caller, &order).await;
+            let order = CallerRequest::post("/orders/1", "one");
+            let answer = request(&site, &caller, &order).await;
             expect_that!(runs_of(&site, &order.id), le(1));
             if answer.status == Some(200) {
                 expect_that!(answer.body, eq(&format!("first of {}", order.id)));
@@ -152,12 +163,17 @@
             let answer = format!(
                 "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Signature: s\r\n\r\nwhole"
             );
-            vec![Act::Write(answer.into_bytes()), Act::Close]
+            vec![ScriptStep::Write(answer.into_bytes()), ScriptStep::Close]
         });
-        let answer = ask(&site, &Caller::default(), &Ask::post("/orders/1", "one")).await;
+        let answer = request(
+            &site,
+            &Caller::default(),
+            &CallerRequest::post("/orders/1", "one"),
+        )
+        .await;
         expect_that!(answer.status, some(eq(200)));
         expect_that!(answer.body, eq("whole"));
-        expect_that!(answer.is_whole, eq(true));
+        expect_that!(answer.is_complete, eq(true));
     });
 }
 
@@ -165,11 +181,11 @@
 fn a_refusal_by_one_server_is_made_good_by_another() {
     block_on(async {
         let site = site(2).await;
-        site.servers[0].script(|_| vec![Act::Write(FULL.into())]);
+        site.servers[0].script(|_| vec![ScriptStep::Write(FULL.into())]);
         let caller = Caller::default();
         for _ in 0..6 {
-            let order = Ask::post("/orders/1", "one");
-            let answer = ask(&site, &caller, &order).await;
+            let order = CallerRequest::post("/orders/1", "one");
+            let answer = request(&site, &caller, &order).await;
             expect_that!(answer.status, some(eq(200)));
             expect_that!(answer.body, starts_with("i-1"));
         }
@@ -184,10 +200,10 @@
             ..StoreFaults::default()
         };
         let site = site_with(2, faults).await;
-        site.servers[0].script(|_| vec![Act::Write(FULL.into())]);
+        site.servers[0].script(|_| vec![ScriptStep::Write(FULL.into())]);
         let caller = Caller::default();
         for _ in 0..6 {
-            let answer = ask(&site, &caller, &Ask::post("/orders/1", "one")).await;
+            let answer = request(&site, &caller, &CallerRequest::post("/orders/1", "one")).await;
             expect_that!(answer.status, some(eq(200)), "{answer:?}");
         }
     });
@@ -198,12 +214,17 @@
     block_on(async {
         let site = site(2).await;
         for server in &site.servers {
-            server.script(|_| vec![Act::Write(FULL.into())]);
+            server.script(|_| vec![ScriptStep::Write(FULL.into())]);
         }
-        let answer = ask(&site, &Caller::default(), &Ask::post("/orders/1", "one")).await;
+        let answer = request(
+            &site,
+            &Caller::default(),
+            &CallerRequest::post("/orders/1", "one"),
+        )
+        .await;
         expect_that!(answer.status, some(eq(503)));
         expect_that!(answer.header("retry-after").parse::<f64>(), ok(gt(&0.0)));
-        expect_that!(answer.took, lt(Duration::from_secs(3)));
+        expect_that!(answer.duration, lt(Duration::from_secs(3)));
     });
 }
 
@@ -217,8 +238,8 @@
         site.remove(&site.servers[0]);
         site.store.put("keyed.servers", "i-gone", &entry);
         compio::time::sleep(Duration::from_millis(1_500)).await;
-        let order = Ask::post("/orders/1", "one");
-        let answer = ask(&site, &Caller::default(), &order).await;
+        let order = CallerRequest::post("/orders/1", "one");
+        let answer = request(&site, &Caller::default(), &order).await;
         expect_that!(runs_of(&site, &order.id), eq(0));
         expect_that!(answer.promises_not_run(), eq(true), "{answer:?}");
     });
@@ -232,8 +253,8 @@
         compio::time::sleep(Duration::from_millis(100)).await;
         let caller = Caller::default();
         for _ in 0..6 {
-            let order = Ask::post("/orders/1", "one");
-            let answer = ask(&site, &caller, &order).await;
+            let order = CallerRequest::post("/orders/1", "one");
+            let answer = request(&site, &caller, &order).await;
             expect_that!(answer.status, some(eq(200)), "{answer:?}");
             expect_that!(runs_of(&site, &order.id), eq(1));
         }
@@ -247,13 +268,13 @@
         for server in &site.servers {
             server.script(|call| {
                 let id = call.header("x-attempt-id");
-                vec![Act::Write(signed(id, 500, "broken inside"))]
+                vec![ScriptStep::Write(signed_answer(id, 500, "broken inside"))]
             });
         }
         let caller = Caller::default();
         let count = 150;
         for _ in 0..count {
-            ask(&site, &caller, &Ask::get("/x")).await;
+            request(&site, &caller, &CallerRequest::get("/x")).await;
         }
         let runs: usize = site.servers.iter().map(|it| it.runs().len()).sum();
         // A fifth of the requests and the slack of the settings, all of it this VM's.
--- a/workbench/tests/site_orders.rs
+++ b/workbench/tests/site_orders.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use std::time::Duration;
 use workbench::cluster::block_on;
-use workbench::site::{Ask, Caller, Site, StoreFaults, engine, route};
+use workbench::site::{Caller, CallerRequest, Site, StoreFaults, route, runner_service};
 
 async fn site(vms: usize) -> Site {
     site_of(vms, false).await
@@ -20,7 +20,7 @@
     .await;
     site.configure(
         json!([route("/s/", "safe", "llm")]),
-        json!([engine(
+        json!([runner_service(
             "llm",
             &[("m0", 12), ("m1", 0), ("m2", 3), ("m3", 0)]
         )]),
@@ -104,7 +104,9 @@
         let caller = Caller::default();
         for vm in 0..2 {
             for model in ["m0", "m0/a7", "m2/a3", "m3"] {
-                let answer = caller.ask(site.front(vm), &Ask::model("/s/x", model)).await;
+                let answer = caller
+                    .request(site.front(vm), &CallerRequest::model("/s/x", model))
+                    .await;
                 expect_that!(answer.status, some(eq(200)), "{model}: {answer:?}");
             }
         }
@@ -162,7 +164,7 @@
         wait_for_model(&site, "m3").await;
         outlast_a_membership_without_the_store(&site).await;
         for server in &site.servers {
-            server.forget("m3");
+            server.lose_model("m3");
         }
         wait_for_model(&site, "m3").await;
         expect_orders_after_the_return_of_the_store(&mut site).await;
@@ -175,7 +177,7 @@
         let mut site = Site::start(vec![("llm", vec![("m0", vec![])]); 2]).await;
         site.configure(
             json!([route("/s/", "safe", "llm")]),
-            json!([engine("llm", &[("m0", 0), ("m1", 0)])]),
+            json!([runner_service("llm", &[("m0", 0), ("m1", 0)])]),
         );
         site.store.set(StoreFaults {
             loses_answers: true,
@@ -201,8 +203,8 @@
         site.add_server("llm", vec![]).await;
         let caller = Caller::default();
         site.wait("m3 is served elsewhere", async || {
-            let ask = Ask::model("/s/x", "m3");
-            let answer = caller.ask(site.front(0), &ask).await;
+            let request = CallerRequest::model("/s/x", "m3");
+            let answer = caller.request(site.front(0), &request).await;
             answer.status == Some(200)
         })
         .await;
--- a/workbench/tests/site_path.rs
+++ b/workbench/tests/site_path.rs
@@ -8,9 +8,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use workbench::cluster::block_on;
-use workbench::site::events::{end, events, text};
+use workbench::site::events::{events, events_text, last_chunk};
 use workbench::site::{
-    Act, Ask, Call, Caller, Seen, Site, StoreFaults, engine, plain, route, signed,
+    Caller, CallerRequest, ReceivedRequest, ScriptStep, ServerEvent, Site, StoreFaults, plain,
+    route, runner_service, signed_answer,
 };
 
 /// Far below the time for which a server would go on working for a caller that has left.
@@ -40,7 +41,7 @@
     once["resumable"] = json!(false);
     site.configure(
         json!([route("/s/", "streaming", "llm"), once]),
-        json!([engine("llm", &[("m0", 0)])]),
+        json!([runner_service("llm", &[("m0", 0)])]),
     );
     site.start_vms(1);
     site.wait_ready().await;
@@ -53,7 +54,7 @@
     site.retry_slack = 0;
     site.configure(
         json!([route("/s/", "streaming", "llm")]),
-        json!([engine("llm", &[("m0", 0)])]),
+        json!([runner_service("llm", &[("m0", 0)])]),
     );
     site.start_vms(1);
     site.wait_ready().await;
@@ -66,27 +67,27 @@
         let site = plain_site(1, 1).await;
         let caller = Caller::default();
         for is_chunked in [false, true] {
-            let mut ask = Ask::post("/books/7?size=large", "a body of some bytes")
+            let mut request = CallerRequest::post("/books/7?size=large", "a body of some bytes")
                 .with("X-Of-The-Caller", "kept")
                 .with("X-Hold", "not the caller's to set")
                 .with("Connection", "x-of-the-hop")
                 .with("X-Of-The-Hop", "dropped");
-            ask.is_chunked = is_chunked;
-            let answer = caller.ask(site.front(0), &ask).await;
+            request.is_chunked = is_chunked;
+            let answer = caller.request(site.front(0), &request).await;
             expect_that!(answer.status, some(eq(200)));
-            expect_that!(answer.is_whole, eq(true));
+            expect_that!(answer.is_complete, eq(true));
             expect_that!(answer.body, eq("i-0 says /books/7?size=large"));
             expect_that!(
                 answer.header("x-server-signature"),
-                eq(&format!("sig-{}", ask.id))
+                eq(&format!("sig-{}", request.id))
             );
             expect_that!(answer.header("x-of-the-server"), eq("kept"));
             let runs = site.servers[0].runs();
             let run = runs.last().expect("it ran");
             expect_that!(run.method, eq("POST"));
             expect_that!(run.path, eq("/books/7?size=large"));
-            expect_that!(run.body, eq(&ask.body));
-            expect_that!(run.header("x-attempt-id"), eq(&ask.id));
+            expect_that!(run.body, eq(&request.body));
+            expect_that!(run.header("x-attempt-id"), eq(&request.id));
             expect_that!(run.header("x-of-the-caller"), eq("kept"));
             expect_that!(run.header("x-hold"), eq(""));
             expect_that!(run.header("x-of-the-hop"), eq(""));
@@ -113,11 +114,15 @@
         site.start_vms(1);
         site.wait_ready().await;
         let caller = Caller::default();
-        let ask = async |path: &str| caller.ask(site.front(0), &Ask::get(path)).await;
-        expect_that!(ask("/a/x").await.body, eq("i-0 says /a/x"));
-        expect_that!(ask("/a/b/x").await.body, eq("i-1 says /a/b/x"));
-        expect_that!(ask("/a/bc").await.body, eq("i-0 says /a/bc"));
-        expect_that!(ask("/b/").await.status, some(eq(404)));
+        let request = async |path: &str| {
+            caller
+                .request(site.front(0), &CallerRequest::get(path))
+                .await
+        };
+        expect_that!(request("/a/x").await.body, eq("i-0 says /a/x"));
+        expect_that!(request("/a/b/x").await.body, eq("i-1 says /a/b/x"));
+        expect_that!(request("/a/bc").await.body, eq("i-0 says /a/bc"));
+        expect_that!(request("/b/").await.status, some(eq(404)));
     });
 }
 
@@ -132,11 +137,15 @@
         site.start_vms(1);
         let caller = Caller::default();
         site.wait("the VM answers", async || {
-            let answer = caller.ask(site.front(0), &Ask::get("/x")).await;
+            let answer = caller
+                .request(site.front(0), &CallerRequest::get("/x"))
+                .await;
             answer.status.is_some()
         })
         .await;
-        let answer = caller.ask(site.front(0), &Ask::get("/x")).await;
+        let answer = caller
+            .request(site.front(0), &CallerRequest::get("/x"))
+            .await;
         expect_that!(answer.status, some(eq(503)));
         expect_that!(answer.header("retry-after").parse::<f64>(), ok(gt(&0.0)));
         expect_that!(site.is_ready(0).await, eq(false));
@@ -146,7 +155,9 @@
         );
         site.store.set(StoreFaults::default());
         site.wait_ready().await;
-        let answer = caller.ask(site.front(0), &Ask::get("/x")).await;
+        let answer = caller
+            .request(site.front(0), &CallerRequest::get("/x"))
+            .await;
         expect_that!(answer.status, some(eq(200)));
     });
 }
@@ -163,7 +174,9 @@
         let caller = Caller::default();
         for vm in 0..2 {
             site.wait("the change is in force", async || {
-                let answer = caller.ask(site.front(vm), &Ask::get("/x")).await;
+                let answer = caller
+                    .request(site.front(vm), &CallerRequest::get("/x"))
+                    .await;
                 answer.body.starts_with("i-1")
             })
             .await;
@@ -179,7 +192,9 @@
         site.store.compact("keyed.op");
         compio::time::sleep(Duration::from_millis(800)).await;
         for vm in 0..2 {
-            let answer = caller.ask(site.front(vm), &Ask::get("/x")).await;
+            let answer = caller
+                .request(site.front(vm), &CallerRequest::get("/x"))
+                .await;
             expect_that!(answer.body, starts_with("i-1"));
         }
     });
@@ -205,7 +220,9 @@
         );
         let caller = Caller::default();
         site.wait("the change is in force", async || {
-            let answer = caller.ask(site.front(0), &Ask::get("/x")).await;
+            let answer = caller
+                .request(site.front(0), &CallerRequest::get("/x"))
+                .await;
             answer.body.starts_with("i-1")
         })
         .await;
@@ -231,7 +248,9 @@
         for fault in faults {
             site.store.set(fault);
             compio::time::sleep(Duration::from_millis(2_500)).await;
-            let answer = caller.ask(site.front(0), &Ask::get("/x")).await;
+            let answer = caller
+                .request(site.front(0), &CallerRequest::get("/x"))
+                .await;
             expect_that!(answer.status, some(eq(200)));
             expect_that!(site.is_ready(0).await, eq(true));
         }
@@ -244,17 +263,17 @@
         let site = model_site(1).await;
         site.servers[0].script(|call| {
             let mut acts = events(call, 1, 5, 100);
-            acts.push(end());
+            acts.push(last_chunk());
             acts
         });
         let answer = Caller::default()
-            .ask(site.front(0), &Ask::model("/s/x", "m0"))
+            .request(site.front(0), &CallerRequest::model("/s/x", "m0"))
             .await;
-        expect_that!(answer.is_whole, eq(true));
-        expect_that!(answer.body, eq(&text(1, 5)));
-        expect_that!(answer.pieces.len(), eq(5));
+        expect_that!(answer.is_complete, eq(true));
+        expect_that!(answer.body, eq(&events_text(1, 5)));
+        expect_that!(answer.chunk_times.len(), eq(5));
         expect_that!(
-            answer.pieces[4] - answer.pieces[0],
+            answer.chunk_times[4] - answer.chunk_times[0],
             gt(Duration::from_millis(300))
         );
     });
@@ -271,21 +290,21 @@
                 if !has_broken.replace(true) {
                     // Three events, then a part of the fourth.
                     let mut acts = events(call, 1, 3, 5);
-                    acts.push(Act::Write(b"20\r\nid: 4\ndata".to_vec()));
-                    acts.push(Act::Close);
+                    acts.push(ScriptStep::Write(b"20\r\nid: 4\ndata".to_vec()));
+                    acts.push(ScriptStep::Close);
                     return acts;
                 }
                 let after: u64 = call.header("last-event-id").parse().unwrap_or(0);
                 let mut acts = events(call, after + 1, 8 - after, 5);
-                acts.push(end());
+                acts.push(last_chunk());
                 acts
             });
         }
-        let ask = Ask::model("/s/x", "m0");
-        let answer = Caller::default().ask(site.front(0), &ask).await;
-        expect_that!(answer.is_whole, eq(true));
-        expect_that!(answer.body, eq(&text(1, 8)));
-        let runs: Vec<Call> = site.servers.iter().flat_map(|it| it.runs()).collect();
+        let request = CallerRequest::model("/s/x", "m0");
+        let answer = Caller::default().request(site.front(0), &request).await;
+        expect_that!(answer.is_complete, eq(true));
+        expect_that!(answer.body, eq(&events_text(1, 8)));
+        let runs: Vec<ReceivedRequest> = site.servers.iter().flat_map(|it| it.runs()).collect();
         expect_that!(runs.len(), eq(2));
         let resumed = runs.iter().find(|run| run.header("last-event-id") == "3");
         expect_that!(
@@ -302,14 +321,14 @@
         for server in &site.servers {
             server.script(|call| {
                 let mut acts = events(call, 1, 3, 5);
-                acts.push(Act::Close);
+                acts.push(ScriptStep::Close);
                 acts
             });
         }
-        let ask = Ask::model("/once/x", "m0");
-        let answer = Caller::default().ask(site.front(0), &ask).await;
+        let request = CallerRequest::model("/once/x", "m0");
+        let answer = Caller::default().request(site.front(0), &request).await;
         expect_that!(answer.status, some(eq(200)));
-        expect_that!(answer.is_whole, eq(false));
+        expect_that!(answer.is_complete, eq(false));
         let runs: usize = site.servers.iter().map(|it| it.runs().len()).sum();
         expect_that!(runs, eq(1));
     });
@@ -320,24 +339,23 @@
     block_on(async {
         let site = model_site(1).await;
         // Once before the first event, once in mid-stream.
-        site.servers[0].script_next(|_| vec![Act::Wait(Duration::from_secs(10))]);
+        site.servers[0].script_next(|_| vec![ScriptStep::Wait(Duration::from_secs(10))]);
         site.servers[0].script_next(|call| events(call, 1, 1_000, 20));
         let caller = Caller::default();
         for _ in 0..2 {
-            let mut ask = Ask::model("/s/x", "m0");
-            ask.leave_after = Some(Duration::from_millis(400));
-            caller.ask(site.front(0), &ask).await;
+            let mut request = CallerRequest::model("/s/x", "m0");
+            request.disconnect_after = Some(Duration::from_millis(400));
+            caller.request(site.front(0), &request).await;
             let left_at = Instant::now();
             site.wait("the server sees it", async || {
-                site.servers[0]
-                    .seen()
-                    .iter()
-                    .any(|seen| matches!(seen, Seen::Left(id, _) if *id == ask.id))
+                site.servers[0].seen().iter().any(
+                    |seen| matches!(seen, ServerEvent::Disconnected(id, _) if *id == request.id),
+                )
             })
             .await;
             let seen = site.servers[0].seen();
             let left = seen.iter().find_map(|seen| match seen {
-                Seen::Left(id, at) if *id == ask.id => Some(*at),
+                ServerEvent::Disconnected(id, at) if *id == request.id => Some(*at),
                 _ => None,
             });
             let left = left.expect("it was just seen");
@@ -352,13 +370,13 @@
         let mut site = model_site(1).await;
         site.servers[0].script(|call| {
             let mut acts = events(call, 1, 30, 100);
-            acts.push(end());
+            acts.push(last_chunk());
             acts
         });
         let front = site.front(0);
         let caller = Caller::default();
-        let ask = Ask::model("/s/x", "m0");
-        let stream = caller.ask(front, &ask);
+        let request = CallerRequest::model("/s/x", "m0");
+        let stream = caller.request(front, &request);
         let stop = async {
             compio::time::sleep(Duration::from_millis(500)).await;
             site.vms[0].signal(Signal::SIGTERM);
@@ -366,13 +384,13 @@
                 .await;
             // New connections still find an answer while they can arrive.
             Caller::default()
-                .ask(front, &Ask::model("/s/y", "m0"))
+                .request(front, &CallerRequest::model("/s/y", "m0"))
                 .await
         };
         let (first, second) = join(stream, stop).await;
         for answer in [first, second] {
-            expect_that!(answer.is_whole, eq(true));
-            expect_that!(answer.body, eq(&text(1, 30)));
+            expect_that!(answer.is_complete, eq(true));
+            expect_that!(answer.body, eq(&events_text(1, 30)));
         }
         let began = Instant::now();
         while !site.vms[0].has_ended() {
@@ -386,12 +404,14 @@
 fn a_server_that_drains_gets_nothing_more() {
     block_on(async {
         let site = plain_site(2, 1).await;
-        site.enter(&site.servers[0], "draining");
+        site.put_entry(&site.servers[0], "draining");
         compio::time::sleep(Duration::from_millis(1_500)).await;
         let before = site.servers[0].runs().len();
         let caller = Caller::default();
         for _ in 0..20 {
-            let answer = caller.ask(site.front(0), &Ask::get("/x")).await;
+            let answer = caller
+                .request(site.front(0), &CallerRequest::get("/x"))
+                .await;
             expect_that!(answer.body, starts_with("i-1"));
         }
         expect_that!(site.servers[0].runs().len(), eq(before));
@@ -407,13 +427,13 @@
         site.configure(json!([slow]), json!([plain("books")]));
         site.start_vms(1);
         site.wait_ready().await;
-        site.servers[0].script(|_| vec![Act::Wait(Duration::from_secs(10))]);
+        site.servers[0].script(|_| vec![ScriptStep::Wait(Duration::from_secs(10))]);
         let answer = Caller::default()
-            .ask(site.front(0), &Ask::post("/x", "y"))
+            .request(site.front(0), &CallerRequest::post("/x", "y"))
             .await;
         expect_that!(answer.status, some(eq(504)));
-        expect_that!(answer.took, gt(Duration::from_millis(600)));
-        expect_that!(answer.took, lt(Duration::from_secs(4)));
+        expect_that!(answer.duration, gt(Duration::from_millis(600)));
+        expect_that!(answer.duration, lt(Duration::from_secs(4)));
     });
 }
 
@@ -424,11 +444,11 @@
         for server in &site.servers {
             server.script(|call| {
                 let id = call.header("x-attempt-id");
-                vec![Act::Write(signed(id, 500, "broken inside"))]
+                vec![ScriptStep::Write(signed_answer(id, 500, "broken inside"))]
             });
         }
-        let ask = Ask::post("/orders/1", "one");
-        let answer = Caller::default().ask(site.front(0), &ask).await;
+        let request = CallerRequest::post("/orders/1", "one");
+        let answer = Caller::default().request(site.front(0), &request).await;
         expect_that!(answer.status, some(eq(500)));
         expect_that!(answer.body, eq("broken inside"));
         let runs: usize = site.servers.iter().map(|it| it.runs().len()).sum();
@@ -444,17 +464,17 @@
             // Silent in mid-stream, for longer than a server that is well ever is.
             server.script(|call| {
                 let mut acts = events(call, 1, 2, 10);
-                acts.push(Act::Wait(Duration::from_millis(1_700)));
+                acts.push(ScriptStep::Wait(Duration::from_millis(1_700)));
                 let rest = events(call, 3, 2, 10).into_iter();
                 acts.extend(rest.skip(1));
-                acts.push(end());
+                acts.push(last_chunk());
                 acts
             });
         }
-        let ask = Ask::model("/s/x", "m0");
-        let answer = Caller::default().ask(site.front(0), &ask).await;
-        expect_that!(answer.is_whole, eq(true));
-        expect_that!(answer.body, eq(&text(1, 4)));
+        let request = CallerRequest::model("/s/x", "m0");
+        let answer = Caller::default().request(site.front(0), &request).await;
+        expect_that!(answer.is_complete, eq(true));
+        expect_that!(answer.body, eq(&events_text(1, 4)));
     });
 }
 
@@ -465,16 +485,16 @@
         for server in &site.servers {
             // Its first event comes late.
             server.script(|call| {
-                let mut acts = vec![Act::Wait(Duration::from_millis(1_800))];
+                let mut acts = vec![ScriptStep::Wait(Duration::from_millis(1_800))];
                 acts.extend(events(call, 1, 2, 10));
-                acts.push(end());
+                acts.push(last_chunk());
                 acts
             });
         }
-        let ask = Ask::model("/s/x", "m0");
-        let answer = Caller::default().ask(site.front(0), &ask).await;
+        let request = CallerRequest::model("/s/x", "m0");
+        let answer = Caller::default().request(site.front(0), &request).await;
         expect_that!(answer.status, some(eq(200)));
-        expect_that!(answer.body, eq(&text(1, 2)));
+        expect_that!(answer.body, eq(&events_text(1, 2)));
     });
 }
 
@@ -503,7 +523,9 @@
         let caller = Caller::default();
         for vm in 3..5 {
             site.wait("the change is in force", async || {
-                let answer = caller.ask(site.front(vm), &Ask::get("/x")).await;
+                let answer = caller
+                    .request(site.front(vm), &CallerRequest::get("/x"))
+                    .await;
                 answer.body.starts_with("i-1")
             })
             .await;
--- a/workbench/tests/site_recovery.rs
+++ b/workbench/tests/site_recovery.rs
@@ -4,7 +4,9 @@
 use serde_json::json;
 use std::time::Duration;
 use workbench::cluster::block_on;
-use workbench::site::{Act, Ask, Caller, Site, StoreFaults, engine, plain, route};
+use workbench::site::{
+    Caller, CallerRequest, ScriptStep, Site, StoreFaults, plain, route, runner_service,
+};
 
 /// How long a dying server's connection stays open: by then it takes no new ones.
 const DYING: Duration = Duration::from_millis(400);
@@ -22,7 +24,7 @@
         .await;
         let services = || {
             json!([
-                engine("llm", &[("m0", 0), ("m1", 0), ("m2", 0)]),
+                runner_service("llm", &[("m0", 0), ("m1", 0), ("m2", 0)]),
                 plain("books"),
                 plain("other")
             ])
@@ -49,7 +51,11 @@
         }
         let caller = Caller::default();
         site.wait("a VM that knows nothing refuses", async || {
-            caller.ask(site.front(0), &Ask::get("/x")).await.status == Some(503)
+            caller
+                .request(site.front(0), &CallerRequest::get("/x"))
+                .await
+                .status
+                == Some(503)
         })
         .await;
         expect_that!(site.is_ready(0).await, eq(false));
@@ -57,16 +63,20 @@
         site.wait_ready().await;
         let before = site.servers[2].runs().len();
         for vm in 0..3 {
-            let answer = caller.ask(site.front(vm), &Ask::get("/x")).await;
+            let answer = caller
+                .request(site.front(vm), &CallerRequest::get("/x"))
+                .await;
             expect_that!(answer.status, some(eq(200)), "{answer:?}");
             for model in ["m0", "m1"] {
-                let answer = caller.ask(site.front(vm), &Ask::model("/s/x", model)).await;
+                let answer = caller
+                    .request(site.front(vm), &CallerRequest::model("/s/x", model))
+                    .await;
                 expect_that!(answer.status, some(eq(200)), "{model}: {answer:?}");
             }
             // The entries do not tell of it: known once a VM gives orders again.
             site.wait("the third model is found", async || {
-                let ask = Ask::model("/s/x", "m2");
-                caller.ask(site.front(vm), &ask).await.status == Some(200)
+                let request = CallerRequest::model("/s/x", "m2");
+                caller.request(site.front(vm), &request).await.status == Some(200)
             })
             .await;
         }
@@ -98,10 +108,12 @@
             server.script(move |call| {
                 if call.path != "/poison" {
                     let id = call.header("x-attempt-id");
-                    return vec![Act::Write(workbench::site::signed(id, 200, "whole"))];
+                    return vec![ScriptStep::Write(workbench::site::signed_answer(
+                        id, 200, "whole",
+                    ))];
                 }
                 dying.die();
-                vec![Act::Wait(DYING), Act::Close]
+                vec![ScriptStep::Wait(DYING), ScriptStep::Close]
             });
         }
         let caller = Caller::default();
@@ -110,7 +122,9 @@
             let runs = servers.flat_map(|server| server.runs());
             runs.filter(|run| run.path == "/poison").count()
         };
-        let answer = caller.ask(site.front(0), &Ask::get("/poison")).await;
+        let answer = caller
+            .request(site.front(0), &CallerRequest::get("/poison"))
+            .await;
         expect_that!(answer.status, not(some(eq(200))));
         expect_that!(poisoned(&site), eq(2));
         site.wait("the other VM heard of both crashes", async || {
@@ -120,12 +134,16 @@
         })
         .await;
         for vm in [0, 1, 0, 1] {
-            let answer = caller.ask(site.front(vm), &Ask::get("/poison")).await;
+            let answer = caller
+                .request(site.front(vm), &CallerRequest::get("/poison"))
+                .await;
             expect_that!(answer.status, some(eq(503)));
         }
         expect_that!(poisoned(&site), eq(2));
         // Nothing is held against others.
-        let answer = caller.ask(site.front(1), &Ask::get("/x")).await;
+        let answer = caller
+            .request(site.front(1), &CallerRequest::get("/x"))
+            .await;
         expect_that!(answer.status, some(eq(200)), "{answer:?}");
     });
 }
--- a/workbench/tests/site_resume.rs
+++ b/workbench/tests/site_resume.rs
@@ -6,8 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 use workbench::cluster::block_on;
-use workbench::site::events::{events, rest, text};
-use workbench::site::{Act, Ask, Call, Caller, Site, engine, route};
+use workbench::site::events::{events, events_text, remaining_events};
+use workbench::site::{
+    Caller, CallerRequest, ReceivedRequest, ScriptStep, Site, route, runner_service,
+};
 
 /// Events of a whole stream.
 const EVENTS: u64 = 12;
@@ -26,14 +28,14 @@
     let mut site = Site::start(vec![("llm", vec![("m0", vec![])]); 2]).await;
     site.configure(
         json!([route("/s/", "streaming", "llm")]),
-        json!([engine("llm", &[("m0", 0)])]),
+        json!([runner_service("llm", &[("m0", 0)])]),
     );
     site.start_vms(vms);
     site.wait_ready().await;
     site
 }
 
-fn runs(site: &Site) -> Vec<Call> {
+fn runs(site: &Site) -> Vec<ReceivedRequest> {
     site.servers.iter().flat_map(|it| it.runs()).collect()
 }
 
@@ -51,24 +53,24 @@
         for server in &site.servers {
             server.script(|call| {
                 if !call.header("last-event-id").is_empty() {
-                    return rest(call, EVENTS, PAUSE_MS);
+                    return remaining_events(call, EVENTS, PAUSE_MS);
                 }
                 let mut acts = events(call, 1, PART, 0);
-                acts.push(Act::Wait(LONG));
+                acts.push(ScriptStep::Wait(LONG));
                 acts
             });
         }
-        let mut first = Ask::model("/s/x", "m0");
-        first.leave_after = Some(LEAVE_AFTER);
-        let begun = Caller::default().ask(site.front(0), &first).await;
-        expect_that!(begun.is_whole, eq(false));
+        let mut first = CallerRequest::model("/s/x", "m0");
+        first.disconnect_after = Some(LEAVE_AFTER);
+        let begun = Caller::default().request(site.front(0), &first).await;
+        expect_that!(begun.is_complete, eq(false));
         let (last, head) = whole_events(&begun.body);
         expect_that!(last, eq(PART));
 
-        let on = Ask::model("/s/x", "m0").with("Last-Event-Id", &last.to_string());
-        let ended = Caller::default().ask(site.front(1), &on).await;
-        expect_that!(ended.is_whole, eq(true));
-        expect_that!(head + &ended.body, eq(&text(1, EVENTS)));
+        let on = CallerRequest::model("/s/x", "m0").with("Last-Event-Id", &last.to_string());
+        let ended = Caller::default().request(site.front(1), &on).await;
+        expect_that!(ended.is_complete, eq(true));
+        expect_that!(head + &ended.body, eq(&events_text(1, EVENTS)));
         let resumed = runs(&site).into_iter();
         let resumed = resumed.filter(|run| run.header("last-event-id") == last.to_string());
         expect_that!(resumed.count(), eq(1));
@@ -84,17 +86,17 @@
             let has_broken = has_broken.clone();
             server.script(move |call| {
                 if has_broken.replace(true) {
-                    return rest(call, EVENTS, PAUSE_MS);
+                    return remaining_events(call, EVENTS, PAUSE_MS);
                 }
                 let mut acts = events(call, 1, PART, PAUSE_MS);
-                acts.push(Act::Reset);
+                acts.push(ScriptStep::Reset);
                 acts
             });
         }
-        let ask = Ask::model("/s/x", "m0");
-        let answer = Caller::default().ask(site.front(0), &ask).await;
-        expect_that!(answer.is_whole, eq(true));
-        expect_that!(answer.body, eq(&text(1, EVENTS)));
+        let request = CallerRequest::model("/s/x", "m0");
+        let answer = Caller::default().request(site.front(0), &request).await;
+        expect_that!(answer.is_complete, eq(true));
+        expect_that!(answer.body, eq(&events_text(1, EVENTS)));
         let runs = runs(&site);
         expect_that!(runs.len(), eq(2));
         let last = runs
@@ -112,14 +114,14 @@
         for server in &site.servers {
             let has_broken = has_broken.clone();
             server.script(move |call| match has_broken.replace(true) {
-                true => rest(call, EVENTS, PAUSE_MS),
-                false => vec![Act::Reset],
+                true => remaining_events(call, EVENTS, PAUSE_MS),
+                false => vec![ScriptStep::Reset],
             });
         }
-        let ask = Ask::model("/s/x", "m0");
-        let answer = Caller::default().ask(site.front(0), &ask).await;
-        expect_that!(answer.is_whole, eq(true));
-        expect_that!(answer.body, eq(&text(1, EVENTS)));
+        let request = CallerRequest::model("/s/x", "m0");
+        let answer = Caller::default().request(site.front(0), &request).await;
+        expect_that!(answer.is_complete, eq(true));
+        expect_that!(answer.body, eq(&events_text(1, EVENTS)));
         let runs = runs(&site);
         expect_that!(runs.len(), eq(2));
         let named = runs
--- a/workbench/tests/site_server.rs
+++ b/workbench/tests/site_server.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 use workbench::cluster::block_on;
-use workbench::site::{Ask, Caller, Site};
+use workbench::site::{Caller, CallerRequest, Site};
 
 const SERVERS: usize = 60;
 /// Connections to each server, one after the other.
@@ -14,14 +14,14 @@
 fn every_connection_is_answered_whenever_it_comes() {
     block_on(async {
         let site = Site::start(vec![("plain", vec![]); SERVERS]).await;
-        let ask = Ask::get("/x/y");
+        let request = CallerRequest::get("/x/y");
         let callers = site.servers.iter().map(async |server| {
             let mut answered = 0;
             for number in 0..CONNECTIONS {
                 // Around the time at which the server looks whether it is to end.
                 let pause_us = 18_000 + number * 37 % 3_000;
                 compio::time::sleep(Duration::from_micros(pause_us)).await;
-                let answer = Caller::default().ask(server.address(), &ask).await;
+                let answer = Caller::default().request(server.address(), &request).await;
                 answered += u64::from(answer.status == Some(200));
             }
             answered
