--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -63,7 +63,7 @@
     fn read_caller_request(head: &request::Parts) -> Result<CallerRequest, Malformed>;
 
     /// Builds the request that is sent to a backend server.
-    fn to_server(ask: &CallerRequest, options: &SendOptions<'_>) -> Request<Body>;
+    fn to_server(caller_request: &CallerRequest, options: &SendOptions<'_>) -> Request<Body>;
 
     /// Parses the head of a backend server's response.
     fn read_reply(head: &response::Parts) -> Reply;
@@ -96,7 +96,7 @@
     /// The records, oldest first.
     pub(crate) items: Vec<T>,
     /// The offset at which to continue reading.
-    pub(crate) next: u64,
+    pub(crate) next_offset: u64,
 }
 
 /// A change to the directory of backend servers.
@@ -169,7 +169,7 @@
 }
 
 /// The log of leadership claims; the offset of a claim determines its fencing token (fence).
-pub(crate) trait Claims: 'static {
+pub(crate) trait LeadershipClaims: 'static {
     /// Checks whether a later claim follows the one with this fence.
     fn has_later_claim(&self, fence: u64) -> impl Future<Output = Result<bool, StoreError>>;
 
@@ -187,7 +187,7 @@
 pub(crate) struct Weights {
     /// The model.
     pub(crate) model: Name,
-    /// The adapter; `None` stands for the model itself.
+    /// The adapter; `None` means the model itself.
     pub(crate) adapter: Option<Name>,
 }
 
@@ -204,7 +204,7 @@
     /// runner rejects the order if its own count differs.
     pub(crate) expected_orders: Option<u64>,
     /// The name of the leader, which sends the order.
-    pub(crate) holder: &'a str,
+    pub(crate) leader: &'a str,
     /// The leader's fence.
     pub(crate) fence: u64,
 }
@@ -255,7 +255,7 @@
     /// When the runner's process started, in Unix milliseconds.
     pub(crate) started_ms: u64,
     /// Adapters that are on their way to the runner and not loaded yet.
-    pub(crate) coming: Vec<Weights>,
+    pub(crate) loading_adapters: Vec<Weights>,
 }
 
 /// The control interface of model runners.
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -195,7 +195,7 @@
     }
 
     /// Returns the number of requests of this VM that are in flight on the server, by model. The
-    /// empty name stands for requests to plain services.
+    /// empty name denotes requests to plain services.
     pub(crate) fn in_flight_by_model(&self) -> Vec<(Name, u32)> {
         let in_flight = self.in_flight.borrow();
         let counts = in_flight.iter();
@@ -204,8 +204,8 @@
             .collect()
     }
 
-    /// Counts a request for a model as in flight until the guard is dropped. The empty name stands
-    /// for requests to plain services.
+    /// Counts a request for a model as in flight until the guard is dropped. The empty name
+    /// denotes requests to plain services.
     pub(crate) fn track_in_flight(self: &Rc<Self>, model: Name) -> InFlightGuard {
         *self
             .in_flight
@@ -311,7 +311,7 @@
     ///
     /// A server that restarted under its id replaces the previous run, and none of that run's
     /// holdings are kept. Entries that are older than the current one are ignored.
-    pub(crate) fn take(&self, entry: Entry) -> EntryChange {
+    pub(crate) fn apply_entry(&self, entry: Entry) -> EntryChange {
         let mut servers = self.servers.borrow_mut();
         let last_started_ms = self.ended_runs.borrow_mut().remove(&entry.id);
         if let Some(last) = last_started_ms.filter(|last| *last > entry.started_ms) {
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -6,7 +6,8 @@
 use crate::gateway::fleet::{Holding, Incarnation};
 use crate::gateway::gossip::{Gossip, INTERVAL};
 use crate::gateway::gossip_message::{
-    Digest, FollowedLog, ServerHoldings, ServerRequests, TallyPart, WeightsDemand, ZoneLoadSums,
+    Digest, FollowedLog, ServerHoldings, ServerRequests, UsageReportPart, WeightsDemand,
+    ZoneLoadSums,
 };
 use crate::gateway::gossip_targets::Targets;
 use crate::gateway::log_follower::Reading;
@@ -86,20 +87,23 @@
             sums.collect(),
             round,
             message_interval,
-            targets.near.len(),
+            targets.local.len(),
             Instant::now(),
         );
         ZoneLoadSums::of(part.into_iter())
     }
 
-    /// Splits a tally of the ledger into parts that fit one message each. Without organisations
+    /// Splits a report of the ledger into parts that fit one message each. Without organisations
     /// there are none.
-    pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> UsageReport) -> Vec<TallyPart> {
+    pub(super) fn usage_reports(
+        &self,
+        report: impl FnOnce(&mut Ledger) -> UsageReport,
+    ) -> Vec<UsageReportPart> {
         let configuration = self.state.configuration();
         if configuration.is_none_or(|it| it.organisations.is_none()) {
             return Vec::new();
         }
-        TallyPart::parts(&tally(&mut self.state.ledger.borrow_mut()))
+        UsageReportPart::parts(&report(&mut self.state.ledger.borrow_mut()))
     }
 
     /// The messages about what runners hold, sent by the leader: recent changes, and holdings that
@@ -181,10 +185,10 @@
         };
         let readings = self.state.following.readings()?;
         Some(FollowedLog {
-            directory_changed_to: readings.directory.news,
+            directory_changed_to: readings.directory.last_change,
             directory_end: readings.directory_end,
             directory_age_ms: age_ms(readings.directory),
-            configuration_changed_to: readings.configuration.news,
+            configuration_changed_to: readings.configuration.last_change,
             configuration_age_ms: age_ms(readings.configuration),
         })
     }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -76,7 +76,7 @@
     /// Whether the last known leader gave up leadership.
     leadership_released: Cell<bool>,
     /// Whether it takes several rounds to send to every VM in a remote zone.
-    is_far_late: Cell<bool>,
+    is_remote_load_stale: Cell<bool>,
     /// The scope of the triggered message that has yet to be sent.
     update_scope: Cell<UpdateScope>,
     update_signal: Signal,
@@ -101,7 +101,7 @@
             has_read_members: Cell::default(),
             has_all_members: Cell::default(),
             leadership_released: Cell::default(),
-            is_far_late: Cell::default(),
+            is_remote_load_stale: Cell::default(),
             update_scope: Cell::default(),
             update_signal: Signal::default(),
             crashes: RefCell::default(),
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Replaces the members of the group that the log lists, without this VM. `is_all` tells
-    /// whether the list is complete.
+    /// Replaces the members of the group that the log lists, without this VM. `is_all` is
+    /// true if the list is complete.
     pub(crate) fn set_members(&self, members: Vec<SocketAddr>, is_all: bool) {
         *self.members.borrow_mut() = members;
         self.has_read_members.set(true);
@@ -313,7 +313,7 @@
 
     /// Adds requests that a peer has just sent to its load, until it reports its full load again.
     /// Reports of unknown peers are ignored.
-    pub(super) fn take_prompts(&self, from: SocketAddr, prompts: &[SentPrompt]) {
+    pub(super) fn apply_prompts(&self, from: SocketAddr, prompts: &[SentPrompt]) {
         let mut peer_states = self.peer_states.borrow_mut();
         let Some(peer) = peer_states.get_mut(&from) else {
             return;
@@ -356,7 +356,7 @@
 
     /// Applies a digest: the state of its sender replaces the earlier one. A sender that is leaving
     /// is removed.
-    pub(super) fn take(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
+    pub(super) fn apply_digest(&self, sender: SocketAddr, digest: &Digest, now: Instant) {
         let mut peer_states = self.peer_states.borrow_mut();
         let was_leader = peer_states.get(&sender).is_some_and(|peer| peer.fence > 0);
         if digest.fence > 0 {
@@ -432,8 +432,8 @@
 
     /// Whether the reported load of VMs in remote zones is several rounds stale, since there are
     /// many of them.
-    pub(crate) fn is_far_late(&self) -> bool {
-        self.is_far_late.get()
+    pub(crate) fn is_remote_load_stale(&self) -> bool {
+        self.is_remote_load_stale.get()
     }
 
     /// The recipients of messages: all known VMs, split into those in `zone` and those in remote
@@ -443,18 +443,18 @@
         let members = self.members.borrow();
         let unknown = members.iter().filter(|it| view.get(it).is_none());
         let mut targets = Targets {
-            near: unknown.copied().collect(),
+            local: unknown.copied().collect(),
             ..Targets::default()
         };
         for vm in view.all() {
             if vm.availability_zone == *zone {
-                targets.near.push(vm.address);
+                targets.local.push(vm.address);
             } else {
-                let of_zone = targets.far.entry(vm.availability_zone.clone());
+                let of_zone = targets.remote.entry(vm.availability_zone.clone());
                 of_zone.or_default().push(vm.address);
             }
         }
-        self.is_far_late.set(targets.remote_rounds() > 1);
+        self.is_remote_load_stale.set(targets.remote_rounds() > 1);
         targets
     }
 
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -41,7 +41,7 @@
 pub(crate) struct Relay<P> {
     pub(crate) state: Rc<State>,
     pub(crate) pool: ConnectionPool,
-    pub(crate) queue: Rc<WaitQueues>,
+    pub(crate) wait_queues: Rc<WaitQueues>,
     budget: RetryBudget,
     protocol: PhantomData<P>,
 }
@@ -57,7 +57,7 @@
         });
         Self {
             pool: ConnectionPool::new(state.metrics.connections_opened.clone()),
-            queue: Rc::default(),
+            wait_queues: Rc::default(),
             state,
             budget,
             protocol: PhantomData,
@@ -76,7 +76,7 @@
             }
         };
         let id = request.id.clone();
-        let caller_timeout = request.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let caller_timeout = request.time_limit.unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let model = request.generation.as_ref().map(|it| it.model.clone());
         let model = model.unwrap_or_default();
         match self.clone().answer(request, body, arrived).await {
@@ -138,7 +138,7 @@
         let timeout = route.timeout();
         let deadline = arrived
             + request
-                .patience
+                .time_limit
                 .map_or(timeout, |caller_timeout| caller_timeout.min(timeout));
         let limit_bytes = configuration.limits.max_body_bytes;
         let reading = read_body(body, limit_bytes);
@@ -383,9 +383,9 @@
                 && !self.is_busy(server),
         });
         if call.request.generation.is_some() {
-            server.backlog.note(call.cost.read_ms, now);
+            server.backlog.note(call.cost.prefill_ms, now);
             let peers = &self.state.peers;
-            peers.report_prompt(&server.id, call.cost.read_ms, now);
+            peers.report_prompt(&server.id, call.cost.prefill_ms, now);
         }
     }
 
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -37,11 +37,11 @@
             model = %call.model(),
             organisation = call.organisation_name(),
             load = self.candidate.load(),
-            is_near = self.candidate.is_near,
-            is_far_late = self.candidate.is_far_late,
+            is_near = self.candidate.is_local,
+            is_far_late = self.candidate.is_remote_load_stale,
             is_connected = self.candidate.is_connected,
-            prompts_wait_ms = self.candidate.prompts_wait_ms as u64,
-            read_ms = call.cost.read_ms as u64,
+            prompts_wait_ms = self.candidate.queued_prefill_ms as u64,
+            read_ms = call.cost.prefill_ms as u64,
             has_failed = self.candidate.has_failed,
             candidates = self.candidates,
             waited_ms = call.arrived.elapsed().as_millis() as u64,
@@ -105,13 +105,13 @@
     /// for the model to be loaded.
     pub(crate) async fn server_for(&self, call: &Call) -> Result<Rc<Server>, Failure> {
         let mut waiting = None;
-        let mut position = None;
+        let mut queued = None;
         loop {
             let changed = self.state.changed.wait();
-            let obstacle = match self.try_select(call, position.as_ref()) {
+            let obstacle = match self.try_select(call, queued.as_ref()) {
                 Ok(server) => {
                     let waited = call.arrived.elapsed();
-                    if position.is_some() {
+                    if queued.is_some() {
                         self.state.metrics.slot_wait.observe(waited.as_secs_f64());
                     }
                     return Ok(server);
@@ -127,7 +127,7 @@
             }
             if let Some(weights) = call.weights() {
                 let send_by = call.timing().send_by(call.prefill_time());
-                position.get_or_insert_with(|| self.queue.enqueue(&weights, send_by));
+                queued.get_or_insert_with(|| self.wait_queues.enqueue(&weights, send_by));
                 if matches!(obstacle, Obstacle::NoServer) {
                     waiting.get_or_insert_with(|| self.state.count_waiting(&weights));
                 }
@@ -145,7 +145,7 @@
     fn try_select(
         &self,
         call: &Call,
-        position: Option<&QueuedRequest>,
+        queued: Option<&QueuedRequest>,
     ) -> Result<Rc<Server>, Obstacle> {
         let choice = self.pick(call).ok_or(Obstacle::NoServer)?;
         let candidate = &choice.candidate;
@@ -157,14 +157,14 @@
             }
             let max_pause_ms = call.route.max_pause_ms as f64;
             let now = Instant::now();
-            let is_next = match position {
-                Some(position) => position.is_next(now),
+            let is_next = match queued {
+                Some(queued) => queued.is_next(now),
                 None => {
                     let send_by = call.timing().send_by(call.prefill_time());
-                    self.queue.would_be_first(&weights, send_by, now)
+                    self.wait_queues.would_be_first(&weights, send_by, now)
                 }
             };
-            if !is_next || candidate.defers_prompt(call.cost.read_ms, max_pause_ms) {
+            if !is_next || candidate.defers_prompt(call.cost.prefill_ms, max_pause_ms) {
                 return Err(Obstacle::Prefilling(choice));
             }
         }
@@ -183,8 +183,8 @@
             .map(|it| it.with_entry(|entry| entry.slots))
             .sum();
         let capacity = f64::from(slots) * call.hold_time().as_secs_f64() * 1_000.0
-            / call.cost.stream_ms.max(1.0);
-        let waiting = self.queue.count(&weights) * self.state.peers.vms();
+            / call.cost.stream_duration_ms.max(1.0);
+        let waiting = self.wait_queues.count(&weights) * self.state.peers.vms();
         waiting as f64 > capacity
     }
 
@@ -224,9 +224,9 @@
         server.with_entry(|entry| Candidate {
             in_flight,
             slots: entry.slots,
-            prompts_wait_ms: server.backlog.wait_ms(now),
-            is_near: entry.availability_zone == *zone,
-            is_far_late: self.state.peers.is_far_late(),
+            queued_prefill_ms: server.backlog.wait_ms(now),
+            is_local: entry.availability_zone == *zone,
+            is_remote_load_stale: self.state.peers.is_remote_load_stale(),
             is_connected,
             is_short_call: call.request.generation.is_none(),
             has_failed: server.is_in_backoff(now) || call.tried.contains(&server.id),
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -9,7 +9,7 @@
 use crate::gateway::state::State;
 use crate::gateway::watch::LogWatcher;
 use crate::gateway::{
-    Claims, ConfigSource, Directory, Group, Metrics, Protocol, RunnerControl, Settings,
+    ConfigSource, Directory, Group, LeadershipClaims, Metrics, Protocol, RunnerControl, Settings,
 };
 use crate::http::{self, Body, serve_with_head_timeout};
 use compio::net::TcpListener;
@@ -58,10 +58,10 @@
 ) -> Result<(), Report<Fault>>
 where
     P: Protocol,
-    S: ConfigSource + Directory + Group + Claims,
+    S: ConfigSource + Directory + Group + LeadershipClaims,
     R: RunnerControl,
 {
-    let journal = BufferedLog::start().change_context(Fault::Logging)?;
+    let log_buffer = BufferedLog::start().change_context(Fault::Logging)?;
     let callers = bind(settings.caller_address).await?;
     let readiness = bind(settings.ready_address).await?;
     let state = Rc::new(State::new(settings, metrics));
@@ -95,7 +95,7 @@
     election.leave().await;
     drain(&state, stopped_at).await;
     info!(open = state.shutdown.open(), "stopped");
-    journal.flush();
+    log_buffer.flush();
     Ok(())
 }
 
--- a/src/gateway/tests/decisions.rs
+++ b/src/gateway/tests/decisions.rs
@@ -19,9 +19,9 @@
     Candidate {
         in_flight,
         slots: 64,
-        prompts_wait_ms: 0.0,
-        is_near: true,
-        is_far_late: false,
+        queued_prefill_ms: 0.0,
+        is_local: true,
+        is_remote_load_stale: false,
         is_connected: true,
         is_short_call: false,
         has_failed: false,
@@ -31,7 +31,7 @@
 #[test]
 fn the_least_loaded_server_is_chosen_and_a_local_one_among_equals() {
     let remote = Candidate {
-        is_near: false,
+        is_local: false,
         ..candidate(10)
     };
     assert_eq!(
@@ -69,7 +69,7 @@
 #[test]
 fn a_server_with_more_streams_is_preferred_to_one_with_queued_prompts() {
     let prefilling = Candidate {
-        prompts_wait_ms: 40.0,
+        queued_prefill_ms: 40.0,
         ..candidate(10)
     };
     assert_eq!(choose(&[prefilling, candidate(50)], || 0.5), Some(1));
@@ -96,7 +96,7 @@
     assert_eq!(choose(&[candidate(71), candidate(80)], || 0.5), Some(0));
     // Queued prompts on the server with free slots make no difference.
     let prefilling = Candidate {
-        prompts_wait_ms: 2_000.0,
+        queued_prefill_ms: 2_000.0,
         ..candidate(60)
     };
     assert_eq!(choose(&[candidate(71), prefilling], || 0.5), Some(1));
@@ -114,7 +114,7 @@
     let service = Name::from("s");
     let start = Instant::now();
     let mut retries = Vec::new();
-    // Every request asks for a retry, spread unevenly over the VMs, for half a minute.
+    // Every request needs a retry, spread unevenly over the VMs, for half a minute.
     for step in 0..3_000_u64 {
         let now = start + Duration::from_millis(step * 10);
         let budget = &budgets[(step * step) as usize % VMS];
@@ -251,7 +251,7 @@
     let now = Instant::now();
     let limit = Duration::from_secs(2);
     assert_eq!(
-        fleet.take(entry("i", ServerState::Ready)),
+        fleet.apply_entry(entry("i", ServerState::Ready)),
         EntryChange::AvailabilityChanged
     );
     let server = fleet.server("i").expect("the entry was just added");
@@ -262,7 +262,7 @@
             .purge_removed(limit, now + Duration::from_secs(1))
             .is_empty()
     );
-    fleet.take(entry("i", ServerState::Ready));
+    fleet.apply_entry(entry("i", ServerState::Ready));
     assert!(server.is_listed_ready());
     fleet.mark_removed("i", now);
     let gone = fleet.purge_removed(limit, now + Duration::from_secs(3));
@@ -274,7 +274,7 @@
 fn weights_reported_missing_are_not_requested_from_a_server_for_a_while() {
     let fleet = Fleet::default();
     let now = Instant::now();
-    fleet.take(entry("i", ServerState::Ready));
+    fleet.apply_entry(entry("i", ServerState::Ready));
     let server = fleet.server("i").expect("the entry was just added");
     let adapter = Weights {
         model: "m".into(),
@@ -343,7 +343,7 @@
 fn a_restarted_server_keeps_no_state_of_its_previous_run() {
     let fleet = Fleet::default();
     let now = Instant::now();
-    fleet.take(entry("i", ServerState::Ready));
+    fleet.apply_entry(entry("i", ServerState::Ready));
     let before = fleet.server("i").expect("the entry was just added");
     let leader_view = [Holding {
         model: "m".into(),
@@ -359,7 +359,7 @@
         ..entry("i", ServerState::Ready)
     };
     assert_eq!(
-        fleet.take(restarted),
+        fleet.apply_entry(restarted),
         EntryChange::AvailabilityChanged,
         "a restarted server is a new one"
     );
@@ -383,7 +383,7 @@
         sequence: 7,
         ..entry("i", ServerState::Draining)
     };
-    fleet.take(draining.clone());
+    fleet.apply_entry(draining.clone());
     // A delayed entry of the same run, and one of the previous run with a higher sequence number.
     for (started_ms, sequence) in [(2_000, 6), (1_000, 90)] {
         let outdated = Entry {
@@ -391,15 +391,15 @@
             sequence,
             ..entry("i", ServerState::Ready)
         };
-        assert_eq!(fleet.take(outdated), EntryChange::Renewed);
+        assert_eq!(fleet.apply_entry(outdated), EntryChange::Renewed);
         let server = fleet.server("i").expect("the server is listed");
         assert!(!server.is_listed_ready());
     }
     fleet.mark_removed("i", now);
     fleet.purge_removed(Duration::ZERO, now);
     // The same holds after the server has been removed.
-    fleet.take(entry("i", ServerState::Ready));
+    fleet.apply_entry(entry("i", ServerState::Ready));
     assert!(fleet.server("i").is_none());
-    fleet.take(draining);
+    fleet.apply_entry(draining);
     assert!(fleet.server("i").is_some());
 }
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -52,9 +52,9 @@
     let mut assembly = Assembly::default();
     let mut whole = None;
     for message in messages {
-        whole = whole.or(assembly.take(message, end));
+        whole = whole.or(assembly.add_part(message, end));
     }
-    whole.map(|changes| (changes.items.len(), changes.next))
+    whole.map(|changes| (changes.items.len(), changes.next_offset))
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let mut assembly = Assembly::default();
     let whole = messages
         .into_iter()
-        .find_map(|it| assembly.take(it, Some(50)));
+        .find_map(|it| assembly.add_part(it, Some(50)));
     let items = whole.expect("all parts are there").items;
     assert_eq!(format!("{items:?}"), format!("{:?}", changes(12)));
 }
@@ -105,7 +105,10 @@
 
 /// Applies changes and returns how many of them are forwarded to the zone.
 fn apply(state: &State, items: Vec<ServerChange>) -> usize {
-    let changes = Changes { items, next: 0 };
+    let changes = Changes {
+        items,
+        next_offset: 0,
+    };
     state
         .apply_directory_changes(changes, Instant::now())
         .0
--- a/src/gateway/tests/order_dispatch.rs
+++ b/src/gateway/tests/order_dispatch.rs
@@ -70,7 +70,7 @@
             is_busy: self.order_in_progress.is_some(),
             orders: self.orders,
             started_ms: 1,
-            coming: Vec::new(),
+            loading_adapters: Vec::new(),
         };
         self.history.push((at, report));
     }
@@ -177,7 +177,7 @@
 fn apply_change(state: &State, change: ServerChange) {
     let changes = Changes {
         items: vec![change],
-        next: 0,
+        next_offset: 0,
     };
     state.apply_directory_changes(changes, Instant::now());
 }
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -102,7 +102,10 @@
     let caller_request =
         PlatformProtocol::read_caller_request(&head).expect("the request is well formed");
     assert_eq!(caller_request.host, "h.example");
-    assert_eq!(caller_request.patience, Some(Duration::from_millis(1_500)));
+    assert_eq!(
+        caller_request.time_limit,
+        Some(Duration::from_millis(1_500))
+    );
     assert_eq!(caller_request.last_event, Some(12));
     let generation = caller_request
         .generation
@@ -259,7 +262,14 @@
         .remove("born");
     let read = |entries: &[Value], servers_report_start: &Cell<bool>| {
         let items = entries.iter().map(record).collect();
-        let changes = server_changes(Changes { items, next: 1 }, servers_report_start).items;
+        let changes = server_changes(
+            Changes {
+                items,
+                next_offset: 1,
+            },
+            servers_report_start,
+        )
+        .items;
         let is_upserted = |change: &ServerChange| matches!(change, ServerChange::Upserted(_));
         changes.iter().map(is_upserted).collect::<Vec<bool>>()
     };
@@ -293,10 +303,10 @@
         {"name": "east", "api_keys": []},
     ]));
     let configuration = configuration::decode(&text).expect("the configuration is valid");
-    let register = configuration
+    let index = configuration
         .organisations
         .expect("there are organisations");
-    let owner_of = |key: &[u8]| register.holder(&ApiKey::new(key)).cloned();
+    let owner_of = |key: &[u8]| index.owner(&ApiKey::new(key)).cloned();
     let north = owner_of(b"a").expect("the key belongs to north");
     assert_eq!(north.priority, Some(2));
     let quota = north.quota.expect("north has a quota");
