--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -1,6 +1,6 @@
-//! What a runner's book says of requests to come.
+//! Tests of which requests a runner's memory ledger is about to serve.
 
-use super::{Artifact, Copy, CopyState, RunnerBook};
+use super::{Artifact, Copy, CopyState, MemoryLedger};
 use crate::router::Target;
 use googletest::prelude::*;
 
@@ -22,25 +22,25 @@
     }
 }
 
-/// A book with the model resident, and its adapter in a state, if it is there at all.
-fn book(adapter: Option<CopyState>) -> RunnerBook {
-    let mut book = RunnerBook::default();
+/// A ledger with the model resident and, if a state is given, the adapter in that state.
+fn ledger(adapter: Option<CopyState>) -> MemoryLedger {
+    let mut ledger = MemoryLedger::default();
     let model = copy(CopyState::Resident);
-    book.copies.insert(artifact(None), model);
+    ledger.copies.insert(artifact(None), model);
     if let Some(state) = adapter {
-        book.copies.insert(artifact(Some("adapter")), copy(state));
+        ledger.copies.insert(artifact(Some("adapter")), copy(state));
     }
-    book
+    ledger
 }
 
 #[googletest::test]
-fn a_model_without_the_adapter_asked_for_is_not_what_a_request_waits_for() {
+fn a_target_with_an_adapter_needs_both_model_and_adapter_resident_or_loading() {
     let target = Target {
         base: artifact(None),
         adapter: Some(artifact(Some("adapter"))),
     };
-    expect_false!(target.is_coming_in(&book(None)));
-    expect_false!(target.is_coming_in(&book(Some(CopyState::Unloading))));
-    expect_true!(target.is_coming_in(&book(Some(CopyState::Loading))));
-    expect_true!(target.is_coming_in(&book(Some(CopyState::Resident))));
+    expect_false!(target.is_resident_or_loading_in(&ledger(None)));
+    expect_false!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Unloading))));
+    expect_true!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Loading))));
+    expect_true!(target.is_resident_or_loading_in(&ledger(Some(CopyState::Resident))));
 }
--- a/src/gateway/swaps.rs
+++ b/src/gateway/swaps.rs
@@ -192,9 +192,9 @@
         let model = self.model(load);
         let view = &self.planner.runners[runner];
         let load_ms = if view.in_memory.contains(&model.name) {
-            model.warm_ms
+            model.warm_load_ms
         } else if view.on_disk.contains(&model.name) {
-            model.disk_ms
+            model.disk_load_ms
         } else {
             model.load_ms
         };
