--- a/src/callers/ledger.rs
+++ b/src/callers/ledger.rs
@@ -49,7 +49,7 @@
     pub(crate) amount: f64,
     /// The remaining quota of the VMs that report; negative after too much was granted.
     pub(crate) remaining: f64,
-    /// The amount requested per second at all VMs that report.
+    /// The amount requested per second on all VMs that report.
     pub(crate) requested_per_s: f64,
     /// The share of the fleet's VMs that report, this VM included.
     pub(crate) reporting_share: f64,
@@ -64,7 +64,7 @@
     pub(crate) check: QuotaCheck,
 }
 
-/// The grants of all VMs, as far as they are known at one VM.
+/// The grants of all VMs, as far as one VM knows them.
 #[derive(Debug)]
 pub(crate) struct Ledger {
     bounds: QuotaBounds,
--- a/src/callers/peer_usage.rs
+++ b/src/callers/peer_usage.rs
@@ -8,8 +8,8 @@
 /// The minimum time for which a report counts in full. After that its weight decreases linearly to
 /// zero over the quota window.
 const MIN_FRESH: Duration = Duration::from_millis(1_000);
-/// The time for which a report counts in full, in report intervals of its sender, if that is longer
-/// than [`MIN_FRESH`].
+/// The time for which a report counts in full, as a multiple of the interval between its sender's
+/// reports. [`MIN_FRESH`] applies if it is longer.
 const FRESH_REPORTS: f64 = 2.5;
 
 /// The last report of a VM or a zone, with the time at which each figure was received.
--- a/src/callers/quota_estimate.rs
+++ b/src/callers/quota_estimate.rs
@@ -14,7 +14,7 @@
 /// too little.
 const SPEND_TIME_LAGS: f64 = 3.0;
 
-/// One VM's estimate of an organisation's grants at all VMs.
+/// One VM's estimate of what all VMs have granted to an organisation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaEstimate {
     /// The quota of the organisation.
@@ -23,7 +23,7 @@
     pub(super) window: Duration,
     /// The amount that may be granted beyond the quota in a window.
     pub(super) margin: f64,
-    /// The amounts requested and granted at all VMs that report.
+    /// The amounts requested and granted on all VMs that report.
     pub(super) usage: Usage,
     /// The share of the fleet's VMs that report, this VM included.
     pub(super) reporting_share: f64,
@@ -73,8 +73,8 @@
         granted[SPAN_COUNT - 1] += self.unrecorded();
         let newest_per_s = granted[0] / spans[0];
         let remaining_by_span = spans.iter().zip(granted).map(|(span_s, granted)| {
-            // Reported figures are out of date by the lag; while the grant rate grows, the current
-            // sum is higher.
+            // Reported figures are as old as the lag. While the grant rate increases, the current
+            // sum is higher than the reported one.
             let growth_per_s = (newest_per_s - granted / span_s).max(0.0);
             let growth = growth_per_s * self.lag.as_secs_f64();
             let unreported = (growth - GROWTH_RESERVE_SHARE * self.reserve()).max(0.0);
@@ -94,8 +94,8 @@
         amount <= remaining && (is_covered || draw * self.requested_per_s() <= spendable_per_s)
     }
 
-    /// Returns the time after which to retry: when the missing amount may be available again, and
-    /// no sooner than the current burst of requests may be over.
+    /// Returns the time after which to retry: once the missing amount may be available again, but
+    /// not before the current burst of requests may have ended.
     pub(super) fn retry_delay(&self, amount: f64) -> Duration {
         let missing = (amount - self.remaining()).max(0.0);
         let refill = Duration::try_from_secs_f64(missing / self.rate_per_s());
--- a/src/callers/tally.rs
+++ b/src/callers/tally.rs
@@ -1,4 +1,4 @@
-//! The report by which VMs share how much of each quota they granted.
+//! The report in which a VM tells the others how much of each quota it granted.
 
 use crate::callers::usage::Usage;
 
@@ -7,7 +7,7 @@
 pub(crate) struct UsageReport {
     /// The number of VMs that the report covers.
     pub(crate) vms: u32,
-    /// The number of these VMs that have grants recorded for the whole quota window. A VM that
+    /// The number of covered VMs that have grants recorded for the whole quota window. A VM that
     /// started within the window counts as a fraction.
     pub(crate) remembering_vms: f64,
     /// The usage of each organisation, by the `short_id` of its name.
--- a/src/control/crash_suspects.rs
+++ b/src/control/crash_suspects.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Whether a runner is isolated for one suspect at `now_ms` of the platform's clock.
+    /// Whether a runner is reserved for a single suspect request at `now_ms`, in the time of the
+    /// platform's clock.
     pub(crate) fn is_isolated(&self, runner: &str, now_ms: u64) -> bool {
         self.isolations
             .get(runner)
--- a/src/external/log.rs
+++ b/src/external/log.rs
@@ -111,7 +111,7 @@
     cyper::Client::new().expect("creating an HTTP client without TLS does not fail")
 }
 
-/// Classifies a call that got no answer: without a connection nothing was sent.
+/// Classifies a call that got no answer. If no connection was made, the log received nothing.
 fn send_error(error: &cyper::Error) -> LogError {
     match error {
         cyper::Error::HyperClient(error) if error.is_connect() => LogError::Refused,
--- a/src/gateway/election.rs
+++ b/src/gateway/election.rs
@@ -20,7 +20,8 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Interval between renewals of the membership; each costs a tenth of a call to the log.
+/// Interval between renewals of the membership. A renewal costs as much as a tenth of a call to the
+/// log.
 const JOIN_INTERVAL: Duration = Duration::from_millis(800);
 /// Minimum interval between reads of the member list. VMs learn of each other by gossip; the list
 /// serves only to start, and to reunite the halves of a fleet after a network partition. When
@@ -36,7 +37,7 @@
 const DISCOVERY_TIME: Duration = Duration::from_millis(600);
 /// Minimum interval between checks of the log for later claims.
 const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(700);
-/// Delay before the first order of a leader whose predecessor fell silent. It is longer than the
+/// Delay before the first order of a leader whose predecessor went silent. It is longer than the
 /// predecessor's [`CLAIM_CHECK_INTERVAL`] and, together with the silence, than its membership.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(1_000);
 /// Delay after a claim that failed for another reason than a conflict.
@@ -115,7 +116,7 @@
 
     /// Whether this VM has to be a member. A few members are enough to lead and to be found by VMs
     /// that start, and each renewal has a cost. While there is no leader, all VMs are members, so
-    /// that one of them claims no matter which are cut off from the log.
+    /// that one of them can claim leadership, whichever VMs cannot reach the log.
     fn is_membership_needed(&self, now: Instant) -> bool {
         let peers = &self.state.peers;
         let has_other_leader = peers.highest_fence().is_some();
@@ -225,7 +226,7 @@
         let Some(fence) = self.claim().await else {
             return;
         };
-        // The previous leader either fell silent after its last gossip with a fence, or advertised
+        // The previous leader either went silent after its last gossip with a fence, or advertised
         // that it stepped down, or there was none.
         let last_heard_at = self.leader_last_heard_at.get();
         let was_led_recently = last_heard_at.is_some_and(|at| at.elapsed() < self.ttl());
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -16,8 +16,8 @@
 /// How long weights that a server reported as missing are assumed to be missing; by then the
 /// directory contains a newer entry.
 const MISSING_RETENTION: Duration = Duration::from_millis(1_000);
-/// The age from which the holdings that the leader advertised for a server are ignored. The leader
-/// sends them at each change and again every few seconds.
+/// The age at which the holdings that the leader advertised for a server are no longer used. The
+/// leader sends them at each change and again every few seconds.
 const LEADER_VIEW_MAX_AGE: Duration = Duration::from_millis(6_000);
 
 /// Maximum number of removed servers whose last run is remembered, so that entries of earlier runs
@@ -68,7 +68,7 @@
     pub(crate) sequence: u64,
     /// The service that the server belongs to.
     pub(crate) service: Name,
-    /// The address that the server listens at.
+    /// The address that the server listens on.
     pub(crate) address: SocketAddr,
     /// The availability zone that the server is in.
     pub(crate) availability_zone: Name,
@@ -107,7 +107,7 @@
     pub(crate) id: Name,
     /// When this run started, in Unix milliseconds.
     pub(crate) started_ms: u64,
-    /// The address that the server listens at.
+    /// The address that the server listens on.
     pub(crate) address: SocketAddr,
     /// The prefill time of the prompts queued at the server.
     pub(crate) backlog: Backlog,
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -192,7 +192,7 @@
             .await;
     }
 
-    /// Sends the digest, the zone's tallies and the holdings to VMs in other zones.
+    /// Sends the digest, the zone's usage reports and the holdings to VMs in other zones.
     async fn send_remote(&self, mut digest: Digest, holdings: &[Digest], targets: &[SocketAddr]) {
         let tallies = self.tallies(|ledger| ledger.zone_report(Instant::now()));
         digest.tally = tallies.first().cloned();
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Sends the tallies that did not fit into the digest.
+    /// Sends the parts of the usage report that did not fit into the digest.
     async fn send_tallies(&self, tallies: &[TallyPart], next_in: Duration, targets: &[SocketAddr]) {
         for tally in tallies {
             let message = Digest {
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -115,7 +115,7 @@
     pub(super) vms: Vec<VmSeen>,
 }
 
-/// A VM and its last sign of life, as one VM reports it to another.
+/// A VM and when it was last known to be alive, as one VM reports it to another.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct VmSeen {
     /// The octets of the IP address of the VM, four or sixteen.
@@ -211,16 +211,16 @@
     }
 }
 
-/// A part of a tally: what some organisations were granted at one VM, or in a zone.
+/// A part of a usage report: what some organisations were granted at one VM, or in a zone.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct TallyPart {
-    /// The number of VMs that the tally covers.
+    /// The number of VMs that the report covers.
     #[prost(uint32, tag = "1")]
     pub(super) vms: u32,
     #[prost(message, repeated, tag = "2")]
     pub(super) usages: Vec<OrganisationUsage>,
-    /// How many of these VMs have grants recorded for the whole quota window. One that started
-    /// within the window counts as a fraction.
+    /// The number of covered VMs that have grants recorded for the whole quota window. A VM that
+    /// started within the window counts as a fraction.
     #[prost(float, tag = "3")]
     pub(super) remembering_vms: f32,
 }
@@ -240,8 +240,8 @@
 }
 
 impl TallyPart {
-    /// Splits a tally into parts that fit one message each. A tally without grants still gives one
-    /// part, so that its VM is counted.
+    /// Splits a usage report into parts that fit one message each. A report without grants still
+    /// yields one part, so that its VM is counted.
     pub(super) fn parts(tally: &UsageReport) -> Vec<Self> {
         let usages: Vec<OrganisationUsage> =
             tally.usages.iter().map(OrganisationUsage::of).collect();
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -92,8 +92,8 @@
         ZoneLoadSums::of(part.into_iter())
     }
 
-    /// Splits a tally of the ledger into parts that fit one message each. Without organisations
-    /// there are none.
+    /// Splits a usage report of the ledger into parts that fit one message each. Returns no parts
+    /// if no organisations are configured.
     pub(super) fn tallies(&self, tally: impl FnOnce(&mut Ledger) -> UsageReport) -> Vec<TallyPart> {
         let configuration = self.state.configuration();
         if configuration.is_none_or(|it| it.organisations.is_none()) {
--- a/src/gateway/gossip_targets.rs
+++ b/src/gateway/gossip_targets.rs
@@ -9,7 +9,7 @@
 const MAX_REMOTE_MESSAGES: usize = 12;
 /// The number of messages that a VM sends to its own zone per round, at most. In a large zone a
 /// single VM adds little to the load of a runner, so that its report may come later. With fewer
-/// messages the signs of life of 410 VMs spread too slowly (`tests/views.rs`).
+/// messages the sightings of 410 VMs spread too slowly (`tests/views.rs`).
 const MAX_LOCAL_MESSAGES: usize = 28;
 
 /// How many times per round a VM is listed in the messages that one VM receives from its own zone,
--- a/src/gateway/order_dispatch.rs
+++ b/src/gateway/order_dispatch.rs
@@ -129,7 +129,7 @@
     }
 
     /// Adds newly listed runners and removes those that are gone. A runner that executes orders
-    /// stays until these end, since the directory may list it again meanwhile.
+    /// stays until these end, since the directory may list it again in the meantime.
     fn sync_runner_states(&self) {
         let Some(configuration) = self.state.configuration() else {
             return;
@@ -171,7 +171,7 @@
     }
 
     /// Requests a runner's report and stores it. Returns `None` if it did not arrive or is
-    /// outdated, or if the leadership changed meanwhile.
+    /// outdated, or if the leadership changed in the meantime.
     pub(super) async fn fetch_report(&self, server: &Server) -> Option<RunnerReport> {
         let fence = self.fence.get();
         let report = self.runner_control.report(server.address, &server.id).await;
--- a/src/gateway/order_queue.rs
+++ b/src/gateway/order_queue.rs
@@ -32,7 +32,7 @@
     }
 
     /// Makes the runner available to the planner again. If this VM has lost or renewed its
-    /// leadership meanwhile, its present state of the runner is left alone.
+    /// leadership in the meantime, the present state of the runner is left unchanged.
     pub(super) fn finish_orders(&self, target: &OrderTarget) {
         if !self.is_current(target) {
             return;
@@ -103,7 +103,7 @@
         self.advertise_holdings();
     }
 
-    /// Sends one order and waits until it is complete; returns whether it is.
+    /// Sends one order and waits for its completion; returns whether it completed.
     async fn execute_order(&self, target: &OrderTarget, weights: &Weights, is_load: bool) -> bool {
         let server = &target.server;
         for _ in 0..MAX_ATTEMPTS {
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Sends an order. Returns `None` if it may not be sent, or if the leadership ended meanwhile.
+    /// Sends an order. Returns `None` if it may not be sent, or if the leadership ended in the
+    /// meantime.
     async fn send_order(
         &self,
         target: &OrderTarget,
--- a/src/gateway/peer.rs
+++ b/src/gateway/peer.rs
@@ -8,7 +8,8 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// The announced intervals that may pass without a message before the state of a peer expires.
+/// The number of announced sending intervals without a message after which the state of a peer
+/// expires.
 const MAX_MISSED_MESSAGES: u32 = 4;
 
 /// The last state received from one peer.
@@ -62,8 +63,8 @@
     loads
 }
 
-/// How long a digest is valid, by the sending interval that it announces. The digest of a leader
-/// always expires after [`MIN_STATE_TTL`], so that a leader that fell silent is replaced soon.
+/// How long a digest is valid, given the sending interval that it announces. The digest of a leader
+/// always expires after [`MIN_STATE_TTL`], so that a leader that stops sending is replaced soon.
 fn state_ttl(digest: &Digest) -> Duration {
     let next_in = Duration::from_millis(u64::from(digest.next_in_ms));
     match digest.fence {
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -430,8 +430,8 @@
             .collect()
     }
 
-    /// Whether the reported load of VMs in remote zones is several rounds stale, since there are
-    /// many of them.
+    /// Whether load reports from remote zones can be several rounds old, because the fleet is too
+    /// large to send to every remote VM in each round.
     pub(crate) fn is_far_late(&self) -> bool {
         self.is_far_late.get()
     }
@@ -467,7 +467,7 @@
         Some(*leader.0)
     }
 
-    /// Removes VMs that gave no sign of life for too long, expired peer states and zone loads, and
+    /// Removes VMs that were not seen for too long, expired peer states and zone loads, and
     /// crash reports that have been repeated for long enough.
     pub(super) fn forget_silent(&self, now: Instant) {
         for gone in self.view.borrow_mut().forget_silent(now) {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -20,8 +20,8 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info};
 
-/// How long a server is kept after its directory entry was removed while the log was recently
-/// unavailable, so that the entry can come back.
+/// How long a server is kept after its directory entry was removed, if the log was unavailable
+/// shortly before: the server may be alive and add its entry again.
 const REMOVAL_GRACE: Duration = Duration::from_millis(2_000);
 
 /// The state that all tasks of the process share.
@@ -286,7 +286,7 @@
         demand.into_iter().collect()
     }
 
-    /// Returns the demand at all VMs, by weights.
+    /// Returns the demand on all VMs, by weights.
     pub(crate) fn demand(&self, now: Instant) -> HashMap<Weights, DemandRate> {
         let mut demand: HashMap<Weights, DemandRate> = HashMap::new();
         let all = self.own_demand(now).into_iter().chain(self.peers.demands());
--- a/src/gateway/swaps.rs
+++ b/src/gateway/swaps.rs
@@ -33,8 +33,8 @@
 /// the less demand remains for it.
 const DEMAND_LIFETIME_MS: f64 = 12_000.0;
 /// Cost of each second in which a runner accepts no other order, in requests per second: models
-/// in its memory or on its disk may be requested meanwhile, and a load from the weight store takes
-/// many seconds.
+/// in its memory or on its disk may be requested in the meantime, and a load from the weight store
+/// takes many seconds.
 const BUSY_COST_PER_S: f64 = 0.1;
 /// Delay of a load if a model to unload first has requests in flight, in milliseconds: half the
 /// duration of a typical stream.
@@ -51,7 +51,7 @@
 /// weights cached, and as many that have not.
 const MAX_CANDIDATE_RUNNERS: usize = 8;
 
-/// Plans swaps from the current spread of the demand; models and runners go by their indices.
+/// Plans swaps from the current spread of the demand; models and runners are identified by index.
 pub(super) struct SwapPlanner<'a> {
     planner: &'a PlacementPlanner<'a>,
     spread: DemandSpread,
--- a/src/gateway/tests/directory_updates.rs
+++ b/src/gateway/tests/directory_updates.rs
@@ -118,7 +118,7 @@
     assert_eq!(apply(&state, vec![listed(1)]), 1);
     assert_eq!(apply(&state, vec![listed(1)]), 0);
     let ServerChange::Upserted(mut entry) = listed(1) else {
-        panic!("it is an entry");
+        panic!("the change is not an entry");
     };
     entry.holdings.clear();
     assert_eq!(apply(&state, vec![ServerChange::Upserted(entry)]), 1);
--- a/src/gateway/tests/gossip_sender.rs
+++ b/src/gateway/tests/gossip_sender.rs
@@ -31,7 +31,8 @@
         3,
         "a message may be lost"
     );
-    // VMs that missed the messages or started later can't learn the holdings from the directory.
+    // The directory does not list these holdings, so they are sent again, for VMs that missed the
+    // messages or started later.
     assert!(sends_without_change(holdings(), false, now) >= 6);
 }
 
--- a/src/gateway/tests/loads.rs
+++ b/src/gateway/tests/loads.rs
@@ -209,7 +209,7 @@
     for bytes in bytes {
         assert!(
             bytes <= needed * 3 / 2,
-            "{bytes} bytes a second and VM, {needed} needed"
+            "{bytes} bytes per second per VM, {needed} needed"
         );
     }
 }
--- a/src/gateway/tests/members.rs
+++ b/src/gateway/tests/members.rs
@@ -11,7 +11,7 @@
 /// A time after the start at which all VMs have found each other.
 const LATER: Duration = Duration::from_secs(10);
 
-/// Creates the peers of `count` VMs that all have a sign of life of each other at `seen_at`.
+/// Creates the peers of `count` VMs that all saw each other at `seen_at`.
 fn fleet(count: usize, started_at: Instant, seen_at: Instant) -> Vec<Peers> {
     let fleet: Vec<Peers> = (0..count)
         .map(|index| Peers::new(address(index), started_at))
@@ -20,7 +20,7 @@
     fleet
 }
 
-/// Gives all VMs a sign of life of the `alive` ones, and lets them remove silent VMs.
+/// Delivers a sighting of the `alive` VMs to all VMs, and lets them remove silent VMs.
 fn receive_sightings(fleet: &[Peers], alive: impl Iterator<Item = usize>, now: Instant) {
     let sightings = alive.map(|index| Sighting {
         address: address(index),
@@ -71,7 +71,7 @@
     let fleet = fleet(76, now, now + LATER);
     let before = members(&fleet, now + LATER);
     let is_alive = |index: usize| !index.is_multiple_of(ZONES);
-    // One zone falls silent; the VMs of the others still receive signs of life of each other.
+    // One zone stops sending; the VMs of the other zones still receive sightings of each other.
     let mut later = now + LATER;
     while later < now + LATER + LIVENESS_TIMEOUT + ROUND {
         receive_sightings(&fleet, (0..76).filter(|index| is_alive(*index)), later);
--- a/src/gateway/tests/planning.rs
+++ b/src/gateway/tests/planning.rs
@@ -97,7 +97,7 @@
     }
     for loaded in &runner_plan.load {
         if loaded.adapter.is_some() {
-            assert!(!adapters.contains(loaded), "{loaded:?} is held already");
+            assert!(!adapters.contains(loaded), "{loaded:?} is already held");
             adapters.push(loaded.clone());
         } else {
             models.push(loaded.model.clone());
--- a/src/gateway/tests/spreading.rs
+++ b/src/gateway/tests/spreading.rs
@@ -105,7 +105,7 @@
 fn vms_that_advertise_prompts_spread_them() {
     for seed in 1..=3 {
         let share = stalled_share(0.75, Advertised::LoadsAndPrompts, seed);
-        assert!(share < 0.02, "{share} of the time with seed {seed}");
+        assert!(share < 0.02, "stalled for {share} of the time, seed {seed}");
     }
 }
 
@@ -113,6 +113,6 @@
 fn vms_that_know_only_old_loads_do_not_all_choose_the_same_server() {
     for seed in 1..=3 {
         let share = stalled_share(0.5, Advertised::Loads, seed);
-        assert!(share < 0.02, "{share} of the time with seed {seed}");
+        assert!(share < 0.02, "stalled for {share} of the time, seed {seed}");
     }
 }
--- a/src/gateway/tests/waiting.rs
+++ b/src/gateway/tests/waiting.rs
@@ -103,7 +103,8 @@
 
 #[test]
 fn prompts_of_a_burst_are_sent_one_after_another() {
-    // Streams must not pause for over 300 ms. Eight prompts at once take 560 ms, held ones 180 ms.
+    // Streams must not pause for over 300 ms. Eight prompts sent at once pause them for 560 ms;
+    // prompts held until the queued ones are processed, for 180 ms.
     assert!(longest_pause_ms(8, false) > 500.0);
     let held = longest_pause_ms(8, true);
     assert!(held < 200.0, "{held}");
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -16,8 +16,8 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a VM is kept without a sign of life. A VM sends to its zone five times per second and a
-/// sign of life spreads within a second; with a shorter time, lost messages would remove live VMs.
+/// How long a VM is kept without a new sighting. A VM sends to its zone five times per second, and
+/// a sighting spreads within a second; with a shorter timeout, lost messages would remove live VMs.
 pub(crate) const LIVENESS_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// How long a VM that was lost is still probed, so that the parts of a fleet find each other after
 /// a network partition without the log. Departed processes are remembered for the same time.
@@ -27,14 +27,14 @@
 /// The gap between two checks from which this VM itself counts as stalled. The messages that it
 /// missed meanwhile say nothing about other VMs.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1_000);
-/// How long after its start a VM may know too few others: all are found within three seconds.
+/// How long after its start a VM may not know all others yet: it finds all within three seconds.
 const DISCOVERY_TIME: Duration = Duration::from_millis(3_000);
 /// How long after the view has grown another VM is asked for its full view in every round.
 const GROWTH_TIME: Duration = Duration::from_millis(1_000);
-/// The interval between requests for a full view otherwise: they make up for lost messages.
+/// The interval between requests for a full view at all other times, to make up for lost messages.
 const VIEW_REQUEST_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// A VM and its last sign of life.
+/// A VM and when it was last known to be alive.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Sighting {
     /// The address at which the VM receives messages.
@@ -52,7 +52,7 @@
 pub(crate) struct View {
     started_at: Instant,
     known: BTreeMap<SocketAddr, Sighting>,
-    /// VMs that fell silent, and when they were lost.
+    /// VMs removed because they stopped sending messages, and when each was removed.
     lost: BTreeMap<SocketAddr, Instant>,
     /// Processes that announced their shutdown, and when.
     departed: HashMap<(SocketAddr, u64), Instant>,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Records a sign of life, received directly or listed by another VM. Returns whether the VM is
-    /// new. Signs of life that are too old, and those of departed processes, are ignored.
+    /// Records a sighting, received directly or listed by another VM. Returns whether the VM is
+    /// new. Sightings that are too old, and those of departed processes, are ignored.
     pub(crate) fn record_sighting(&mut self, sighting: Sighting, now: Instant) -> bool {
         let address = sighting.address;
         let is_old = now.saturating_duration_since(sighting.seen_at) >= LIVENESS_TIMEOUT;
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Removes and returns the VMs without a sign of life for [`LIVENESS_TIMEOUT`]. After a stall
-    /// of this VM, its length is added to their last signs of life.
+    /// Removes and returns the VMs without a sighting for [`LIVENESS_TIMEOUT`]. After a stall of
+    /// this VM, the times of the last sightings are moved forward by the length of the stall.
     pub(crate) fn forget_silent(&mut self, now: Instant) -> Vec<Sighting> {
         let gap = now.saturating_duration_since(self.checked_at);
         self.checked_at = now;
--- a/src/gateway/wait_queue.rs
+++ b/src/gateway/wait_queue.rs
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Position {
-    /// The latest time to send the request for an answer in time.
+    /// The latest time at which the request can be sent and still be answered before its deadline.
     send_by: Instant,
     /// Arrival number of the request; breaks ties between equal deadlines.
     arrival: u64,
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -12,15 +12,15 @@
 use tracing::{info, warn};
 
 /// How long one read of the configuration waits for a change. A read that returns nothing shows
-/// that there is no change, which is then advertised to other VMs. If the log falls silent, a
-/// pending read is given up soon after this time, so that a change made when the log is back is in
-/// force within 2 s.
+/// that there is no change, which is then advertised to other VMs. If the log stops
+/// responding, a pending read is abandoned soon after this time, so that a change made once the log
+/// responds again is in force within 2 s.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(500);
 /// Minimum time between two reads of the configuration. It limits a burst of changes to five calls
 /// per second, and is a tenth of the time within which a change has to be in force.
 const CONFIGURATION_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two reads of the directory: a quarter of the time after which no request may reach
-/// a server that leaves.
+/// Time between two reads of the directory: a quarter of the time within which a leaving server has
+/// to stop receiving requests.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two reads while another VM of the zone follows the log and advertises changes.
 const BACKGROUND_INTERVAL: Duration = Duration::from_secs(60);
@@ -30,7 +30,7 @@
 const UPDATE_POLL: Duration = Duration::from_millis(100);
 /// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Maximum pause while reads keep failing at a VM that can serve with the state it has, also if
+/// Maximum pause between failing reads at a VM that can serve from its current state, even if
 /// another VM follows the log for it. With 2 s, a VM whose connection to the log was restored had a
 /// change in force only 3.5 s later. A VM that is not ready refuses every request and retries
 /// without a longer pause.
@@ -118,7 +118,7 @@
                 Some(from) => self.store.changes_since(from).await,
             };
             match read {
-                // An update forwarded by another VM arrived meanwhile and is newer.
+                // An update forwarded by another VM arrived in the meantime and is newer.
                 Ok(_) if following.directory_end.get() != from => {}
                 Ok(changes) => {
                     if failures > 0 {
--- a/src/gateway/zone_loads.rs
+++ b/src/gateway/zone_loads.rs
@@ -27,9 +27,9 @@
 /// The number of sums that a message carries at most, so that it fits one datagram.
 const MAX_SUMS: usize = 160;
 
-/// The fraction of the list by which the first sum moves on in each round. Steps of the golden
-/// ratio spread evenly and have no period that could coincide with the rounds in which a VM is sent
-/// to.
+/// The fraction of the list by which the first sum to send advances in each round. Steps of the
+/// golden ratio spread evenly, and have no period that could coincide with the rounds in which a VM
+/// receives a message.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
 /// Selects the sums of the local zone that each message to a remote zone carries.
@@ -90,7 +90,7 @@
     at: Instant,
 }
 
-/// The sums received from all remote zones.
+/// The requests in flight per server, as last reported by each remote zone.
 #[derive(Debug, Default)]
 pub(super) struct ZoneLoads {
     zones: HashMap<Name, ZoneSums>,
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -192,7 +192,7 @@
     /// Returns `None` when no model can be evicted that frees enough memory.
     #[expect(
         clippy::option_option,
-        reason = "no possible eviction and no need of one differ"
+        reason = "distinguishes an impossible eviction from an unnecessary one"
     )]
     fn victim(&self, runner: &BackendServer, model: &Model) -> Option<Option<&'a Model>> {
         let memory_ledger = self.memory_ledger(runner);
@@ -280,8 +280,8 @@
         after
     }
 
-    /// Whether the requests that gain a slot over the pay-back time outweigh the cost of the moves,
-    /// which is counted in requests as well.
+    /// Whether the requests that the gained slots can serve within the payback time outweigh the
+    /// cost of the moves, which is counted in requests as well.
     fn is_worth_cost(&self, candidate: &CopyCandidate<'_>) -> bool {
         let policy = &self.control.inventory.rules.moves;
         let payback_s = policy.payback_ms as f64 / 1_000.0;
--- a/src/replay.rs
+++ b/src/replay.rs
@@ -33,8 +33,8 @@
 }
 
 impl Replay {
-    /// Folds one record and returns the verdict of each command; none for other records and
-    /// repeats.
+    /// Folds one record and returns the verdict of each command. Records that contain no commands,
+    /// or that repeat earlier ones, yield no verdicts.
     ///
     /// # Errors
     ///
@@ -71,7 +71,7 @@
     pub fn fold_page(&mut self, page: &str) -> Result<(), Report<Fault>> {
         let page: Page = serde_json::from_str(page)
             .change_context(Fault::Settings)
-            .attach("the file is not a page of the log with the fields first, end and records")?;
+            .attach("the file is not a log page with the fields first, end and records")?;
         if page.first > self.replica.next_offset() {
             let covered = page
                 .records
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -130,7 +130,8 @@
 impl<F: Fold, L: LogService> Stream<F, L> {
     /// Opens a stream and starts its reader and its writer.
     ///
-    /// `writer` must be unique to this run of the process, since sequence numbers start anew.
+    /// `writer` must be unique to this run of the process, since sequence numbers restart with each
+    /// run.
     pub(crate) fn open(name: &str, log: Rc<L>, writer: Name) -> Rc<Self> {
         let stream = Rc::new(Self {
             name: name.into(),
