--- a/src/batch_queue.rs
+++ b/src/batch_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of batch requests that wait at this VM for a free slot.
+//! The queue of batch requests that wait on this VM for a free slot.
 
 use crate::inventory::Name;
 use std::cell::{Cell, RefCell};
--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -52,7 +52,7 @@
         runner: Name,
         artifact: Artifact,
     },
-    /// Permits the order to unload; the memory stays taken until the order is settled.
+    /// Permits the order to unload; the memory stays occupied until its outcome is recorded.
     Unload {
         under: ClaimRef,
         runner: Name,
--- a/src/control/memory_ledger.rs
+++ b/src/control/memory_ledger.rs
@@ -17,10 +17,10 @@
     Reserved,
 }
 
-/// An artifact that takes memory of a runner, or may come to take it.
+/// An artifact that occupies memory of a runner, or may do so later.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Copy {
-    /// Memory that the copy takes or is reserved for it, in MiB.
+    /// Memory that the copy occupies or that is reserved for it, in MiB.
     pub(crate) mib: u64,
     /// State of the copy.
     pub(crate) state: CopyState,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Every copy that takes or may come to take memory of one runner.
+/// Every copy that occupies memory of one runner, or may do so later.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct MemoryLedger {
     /// The run of the engine that the ledger describes; 0 while none is known.
@@ -99,7 +99,7 @@
             .any(|copy| copy.state == CopyState::Reserved)
     }
 
-    /// Number of load orders that are not settled.
+    /// Number of load orders whose outcome is not recorded yet.
     pub(crate) fn open_loads(&self) -> usize {
         self.copies
             .values()
@@ -234,7 +234,8 @@
             self.free_all_but_loading();
         }
         for held in held {
-            // Refused for copies in the ledger already: the order that is open settles them.
+            // Refused for copies that are already in the ledger: their open order decides their
+            // state.
             let _ = self.adopt(fences, held, boot);
         }
         Verdict::Accepted
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -74,7 +74,7 @@
             .map(|(runner, _)| runner)
     }
 
-    /// Number of load orders on all runners that are not settled.
+    /// Number of load orders on all runners whose outcome is not recorded yet.
     pub(crate) fn open_loads(&self) -> usize {
         self.ledgers.values().map(MemoryLedger::open_loads).sum()
     }
--- a/src/events.rs
+++ b/src/events.rs
@@ -42,9 +42,9 @@
     RunnerDown,
     /// A runner lost a copy without an order to unload it.
     CopyLost,
-    /// A runner stopped answering, or answers again.
+    /// A runner stopped or resumed answering.
     RunnerHealth,
-    /// Heartbeats from a peer stopped, or arrive again.
+    /// Heartbeats from a peer stopped or resumed.
     PeerHealth,
     /// A log record could not be read.
     RecordUnreadable,
--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -196,7 +196,7 @@
 pub(crate) struct Order<'a> {
     /// The intended runner.
     pub(crate) server: &'a str,
-    /// Whether the runner is to load the weights rather than unload them.
+    /// Whether the order is to load the weights; otherwise it is to unload them.
     pub(crate) is_load: bool,
     /// The weights to load or unload.
     pub(crate) weights: &'a Weights,
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -9,7 +9,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// The number of organisations in one message, at most. Each takes some 25 bytes, so that they fit
+/// The maximum number of organisations in one message. Each takes some 25 bytes, so that they fit
 /// one datagram.
 const MAX_USAGES_PER_MESSAGE: usize = 40;
 
@@ -231,7 +231,7 @@
     /// The short name of the organisation.
     #[prost(fixed32, tag = "1")]
     pub(super) organisation: u32,
-    /// The amount asked for within the last second, granted or not.
+    /// The amount requested within the last second, granted or not.
     #[prost(uint64, tag = "2")]
     pub(super) asked: u64,
     /// The amount granted within each span of the quota window, the shortest first.
@@ -307,7 +307,7 @@
     pub(super) model: String,
     #[prost(string, optional, tag = "2")]
     pub(super) adapter: Option<String>,
-    /// The runner time that it takes, in microseconds per second.
+    /// The runner time that the demand takes, in microseconds per second.
     #[prost(uint32, tag = "3")]
     pub(super) busy_us_per_s: u32,
     /// Requests per thousand seconds.
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether the holdings are to be sent now. If so, they are recorded as sent.
+    /// Whether the holdings should be sent now. If so, they are recorded as sent.
     ///
     /// Holdings that the directory lists (`is_listed`) reach every VM through the directory, so
     /// that only a change of them is sent.
--- a/src/gateway/gossip_targets.rs
+++ b/src/gateway/gossip_targets.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The number of messages that a VM sends to remote zones per round, at most. Traffic between zones
+/// The maximum number of messages that a VM sends to remote zones per round. Traffic between zones
 /// is expensive: with 76 VMs, messages to all of them made up 0.3 of 0.38 GB in an idle minute.
 const MAX_REMOTE_MESSAGES: usize = 12;
-/// The number of messages that a VM sends to its own zone per round, at most. In a large zone a
+/// The maximum number of messages that a VM sends to its own zone per round. In a large zone a
 /// single VM adds little to the load of a runner, so that its report may come later. With fewer
 /// messages the sightings of 410 VMs spread too slowly (`tests/views.rs`).
 const MAX_LOCAL_MESSAGES: usize = 28;
@@ -16,7 +16,7 @@
 /// on average. The listed VMs are drawn at random; with three, every view stays up to date even
 /// when a tenth of the messages is lost (`tests/views.rs`).
 const MENTIONS_PER_ROUND: usize = 3;
-/// The number of VMs that a message to the local zone lists, at most. Each takes 25 bytes, so that
+/// The maximum number of VMs that a message to the local zone lists. Each takes 25 bytes, so that
 /// they fit one datagram.
 const MAX_VMS_PER_MESSAGE: usize = 40;
 
--- a/src/gateway/hold_time.rs
+++ b/src/gateway/hold_time.rs
@@ -1,5 +1,5 @@
-//! Computes how long a request is held for a free slot, and when it has to be sent to be answered
-//! in time.
+//! Computes how long a request waits for a free slot, and by when it must be sent for its answer to
+//! be in time.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
 /// steps and the network round trip.
 const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(60);
 
-/// The times that determine when a request for a stream is sent or given up.
+/// The times that determine when a request for a stream is sent or abandoned.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestTiming {
     /// When the request arrived.
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -466,8 +466,8 @@
         }
     }
 
-    /// Waits for the response head; `None` once another server is to be tried instead, or the
-    /// deadline has passed.
+    /// Waits for the response head. Returns `None` when another server should be tried instead, or
+    /// when the deadline has passed.
     async fn await_head(
         &self,
         call: &Call,
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -1,13 +1,13 @@
 //! Estimates how demand spreads over the copies of models, and the value of changing the copies.
 //!
 //! Requests go to the least loaded runner that holds their model, so the demand for a model evens
-//! out the load of these runners as far as it suffices. The total load of a runner determines how
-//! many of its requests are answered late or not at all.
+//! out the load of these runners, as far as there is enough demand. The total load of a runner
+//! determines how many of its requests are answered late or not at all.
 
 /// Load of a runner, as a share of its time, up to which its streams are on time. Above it,
 /// prompts arrive while others are being processed, and streams pause during each prefill.
 const MAX_ON_TIME_LOAD: f64 = 0.45;
-/// Load of a runner from which on hardly any of its streams is on time.
+/// Load of a runner above which hardly any of its streams is on time.
 const ALL_LATE_LOAD: f64 = 1.0;
 /// Cost of a late answer relative to no answer: a caller that is answered late is still served,
 /// one that is refused twice is not. Where loads take 9 s, callers got 0.43 of the value of full
@@ -177,7 +177,7 @@
         self.assign_demand(model);
     }
 
-    /// Returns the cost of some runners, and of the models in a swap that no runner holds.
+    /// Returns the cost of `runners`, plus that of the swapped models that no runner holds.
     fn cost(&self, runners: &[usize], load: usize, unload: &[usize]) -> f64 {
         let of_runners = runners.iter().map(|runner| self.runners[*runner].cost());
         let models = unload
@@ -231,7 +231,7 @@
     }
 
     /// Assigns a model's demand to its runners, the least loaded first, so that their loads become
-    /// equal as far as it suffices.
+    /// as equal as the demand allows.
     fn assign_demand(&mut self, model: usize) {
         let ModelCopies { demand, copies } = &mut self.models[model];
         if copies.is_empty() {
--- a/src/gateway/streaming.rs
+++ b/src/gateway/streaming.rs
@@ -328,7 +328,7 @@
         self.note_broken_connection(call, server);
     }
 
-    /// Reads the next event; reports silence only if the stream is to be resumed on another server
+    /// Reads the next event. Reports silence only if the stream should be resumed on another server
     /// or the deadline has passed.
     async fn next_read(&self, call: &Call, stream: &mut ServerStream) -> ReadOutcome {
         loop {
--- a/src/gateway/swaps.rs
+++ b/src/gateway/swaps.rs
@@ -21,8 +21,8 @@
 const COLD_LOAD_COST_PER_S: f64 = 0.03;
 /// Cost of unloading a copy that is needed to hold all adapters, in requests per second.
 const ADAPTER_SHORTAGE_COST_PER_S: f64 = 0.1;
-/// Assumed loss while no runner holds a recently requested model, in requests per second: new
-/// requests for it are to be served as well.
+/// Assumed loss while no runner holds a recently requested model, in requests per second: more
+/// requests for it are expected.
 const REQUESTED_MISSING_COST_PER_S: f64 = 0.3;
 /// Assumed loss while no runner holds a model without recent requests, in requests per second.
 const IDLE_MISSING_COST_PER_S: f64 = 0.05;
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -22,14 +22,14 @@
 /// How long a VM that was lost is still probed, so that the parts of a fleet find each other after
 /// a network partition without the log. Departed processes are remembered for the same time.
 const LOST_RETENTION: Duration = Duration::from_secs(60);
-/// The number of lost VMs that are remembered, at most: more than a fleet replaces in a minute.
+/// The maximum number of lost VMs to remember: more than a fleet replaces in a minute.
 const MAX_LOST: usize = 1_000;
 /// The gap between two checks from which this VM itself counts as stalled. The messages that it
 /// missed meanwhile say nothing about other VMs.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1_000);
 /// How long after its start a VM may not know all others yet: it finds all within three seconds.
 const DISCOVERY_TIME: Duration = Duration::from_millis(3_000);
-/// How long after the view has grown another VM is asked for its full view in every round.
+/// The time after the view has grown in which every round requests the full view of another VM.
 const GROWTH_TIME: Duration = Duration::from_millis(1_000);
 /// The interval between requests for a full view at all other times, to make up for lost messages.
 const VIEW_REQUEST_INTERVAL: Duration = Duration::from_millis(5_000);
@@ -193,8 +193,7 @@
         now.saturating_duration_since(self.started_at) >= DISCOVERY_TIME
     }
 
-    /// Whether another VM is to be asked for its full view now. If so, the request is recorded as
-    /// sent.
+    /// Whether to request the full view of another VM now. If so, the request is recorded as sent.
     pub(crate) fn take_view_request(&mut self, now: Instant) -> bool {
         let since = |at| now.saturating_duration_since(at);
         let is_growing = since(self.grew_at) < GROWTH_TIME;
--- a/src/gateway/zone_loads.rs
+++ b/src/gateway/zone_loads.rs
@@ -21,10 +21,10 @@
 const SUM_TTL: Duration = Duration::from_millis(6_000);
 /// The average interval at which one VM receives the same sum, when there are many sums.
 const SUM_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The number of sums that a message carries at least, if there are that many. A sum takes five or
-/// six bytes, so that they take about as much space as the rest of the message.
+/// The minimum number of sums in a message, if there are that many. A sum takes five or six bytes,
+/// so that they take about as much space as the rest of the message.
 const MIN_SUMS: usize = 24;
-/// The number of sums that a message carries at most, so that it fits one datagram.
+/// The maximum number of sums in a message, so that it fits one datagram.
 const MAX_SUMS: usize = 160;
 
 /// The fraction of the list by which the first sum to send advances in each round. Steps of the
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -9,7 +9,7 @@
 
 /// The maximum age at which a key may be claimed, by the log's clock.
 const MAX_AGE_MS: u64 = 600_000;
-/// How far a key's creation time may lie ahead of the log's clock at most.
+/// The maximum time by which a key's creation time may be ahead of the log's clock.
 const MAX_SKEW_MS: u64 = 60_000;
 /// The log's retention divided by the maximum age of a key.
 const RETENTION_PER_AGE: u64 = 2;
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -376,7 +376,7 @@
             .all(|(name, _)| rendezvous_hash(name, task) < own_hash)
     }
 
-    /// Whether a backend server is leaving, by the merged views of the VM list of this VM and its
+    /// Whether a backend server is leaving, according to the merged VM lists of this VM and its
     /// peers.
     pub(crate) fn is_server_leaving(&self, server: &str) -> bool {
         self.leaving_servers.borrow().contains(server)
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -63,7 +63,7 @@
         self.open.get()
     }
 
-    /// Waits until no work is open, at most for `limit`; returns whether none is.
+    /// Waits for up to `limit` until no work is open; returns whether none is.
     pub async fn drained(&self, limit: Duration) -> bool {
         let start = std::time::Instant::now();
         while self.open.get() > 0 && start.elapsed() < limit {
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -187,7 +187,7 @@
         self.checked_at.get()
     }
 
-    /// When the last read was started after which the stream was folded to its end.
+    /// Start time of the latest read that brought the fold up to the end of the stream.
     pub(crate) fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed_at.get()
     }
