--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Sends the parts of a usage report that did not fit into the digest.
+    /// Sends the parts of the usage report that did not fit into the digest.
     async fn send_usage_reports(
         &self,
         reports: &[UsageReportPart],
--- a/src/gateway/gossip_message.rs
+++ b/src/gateway/gossip_message.rs
@@ -9,7 +9,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// The number of organisations in one message, at most. Each takes some 25 bytes, so that they fit
+/// The maximum number of organisations in one message. Each takes some 25 bytes, so that they fit
 /// one datagram.
 const MAX_USAGES_PER_MESSAGE: usize = 40;
 
@@ -115,7 +115,7 @@
     pub(super) vms: Vec<VmSeen>,
 }
 
-/// A VM and its last sign of life, as one VM reports it to another.
+/// A VM and when it was last known to be alive, as one VM reports it to another.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct VmSeen {
     /// The octets of the IP address of the VM, four or sixteen.
@@ -219,8 +219,8 @@
     pub(super) vms: u32,
     #[prost(message, repeated, tag = "2")]
     pub(super) usages: Vec<OrganisationUsage>,
-    /// How many of these VMs have grants recorded for the whole quota window. One that started
-    /// within the window counts as a fraction.
+    /// The number of covered VMs that have grants recorded for the whole quota window. A VM that
+    /// started within the window counts as a fraction.
     #[prost(float, tag = "3")]
     pub(super) recorded_vms: f32,
 }
@@ -240,8 +240,8 @@
 }
 
 impl UsageReportPart {
-    /// Splits a report into parts that fit one message each. A report without grants still gives
-    /// one part, so that its VM is counted.
+    /// Splits a usage report into parts that fit one message each. A report without grants still
+    /// yields one part, so that its VM is counted.
     pub(super) fn parts(report: &UsageReport) -> Vec<Self> {
         let usages: Vec<OrganisationUsage> =
             report.usages.iter().map(OrganisationUsage::of).collect();
@@ -307,7 +307,7 @@
     pub(super) model: String,
     #[prost(string, optional, tag = "2")]
     pub(super) adapter: Option<String>,
-    /// The runner time that it takes, in microseconds per second.
+    /// The runner time that the demand takes, in microseconds per second.
     #[prost(uint32, tag = "3")]
     pub(super) busy_us_per_s: u32,
     /// Requests per thousand seconds.
--- a/src/gateway/gossip_sender.rs
+++ b/src/gateway/gossip_sender.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether the holdings are to be sent now. If so, they are recorded as sent.
+    /// Whether the holdings should be sent now. If so, they are recorded as sent.
     ///
     /// Holdings that the directory lists (`is_listed`) reach every VM through the directory, so
     /// that only a change of them is sent.
@@ -93,8 +93,8 @@
         ZoneLoadSums::of(part.into_iter())
     }
 
-    /// Splits a report of the ledger into parts that fit one message each. Without organisations
-    /// there are none.
+    /// Splits a usage report of the ledger into parts that fit one message each. Returns no parts
+    /// if no organisations are configured.
     pub(super) fn usage_reports(
         &self,
         report: impl FnOnce(&mut Ledger) -> UsageReport,
--- a/src/gateway/swaps.rs
+++ b/src/gateway/swaps.rs
@@ -21,8 +21,8 @@
 const COLD_LOAD_COST_PER_S: f64 = 0.03;
 /// Cost of unloading a copy that is needed to hold all adapters, in requests per second.
 const ADAPTER_SHORTAGE_COST_PER_S: f64 = 0.1;
-/// Assumed loss while no runner holds a recently requested model, in requests per second: new
-/// requests for it are to be served as well.
+/// Assumed loss while no runner holds a recently requested model, in requests per second: more
+/// requests for it are expected.
 const REQUESTED_MISSING_COST_PER_S: f64 = 0.3;
 /// Assumed loss while no runner holds a model without recent requests, in requests per second.
 const IDLE_MISSING_COST_PER_S: f64 = 0.05;
@@ -33,8 +33,8 @@
 /// the less demand remains for it.
 const DEMAND_LIFETIME_MS: f64 = 12_000.0;
 /// Cost of each second in which a runner accepts no other order, in requests per second: models
-/// in its memory or on its disk may be requested meanwhile, and a load from the weight store takes
-/// many seconds.
+/// in its memory or on its disk may be requested in the meantime, and a load from the weight store
+/// takes many seconds.
 const BUSY_COST_PER_S: f64 = 0.1;
 /// Delay of a load if a model to unload first has requests in flight, in milliseconds: half the
 /// duration of a typical stream.
@@ -51,7 +51,7 @@
 /// weights cached, and as many that have not.
 const MAX_CANDIDATE_RUNNERS: usize = 8;
 
-/// Plans swaps from the current spread of the demand; models and runners go by their indices.
+/// Plans swaps from the current spread of the demand; models and runners are identified by index.
 pub(super) struct SwapPlanner<'a> {
     planner: &'a PlacementPlanner<'a>,
     spread: DemandSpread,
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -130,7 +130,8 @@
 impl<F: Fold, L: LogService> Stream<F, L> {
     /// Opens a stream and starts its reader and its writer.
     ///
-    /// `writer` must be unique to this run of the process, since sequence numbers start anew.
+    /// `writer` must be unique to this run of the process, since sequence numbers restart with each
+    /// run.
     pub(crate) fn open(name: &str, log: Rc<L>, writer: Name) -> Rc<Self> {
         let stream = Rc::new(Self {
             name: name.into(),
@@ -186,7 +187,7 @@
         self.checked_at.get()
     }
 
-    /// When the last read was started after which the stream was folded to its end.
+    /// Start time of the latest read that brought the fold up to the end of the stream.
     pub(crate) fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed_at.get()
     }
