--- a/src/completion.rs
+++ b/src/completion.rs
@@ -348,7 +348,7 @@
     fn end_isolation(&mut self, cleared: bool) {
         let quarantine = &self.services.quarantine;
         let fingerprint = self.request.fingerprint;
-        if cleared && quarantine.standing(fingerprint) == SuspectStatus::Suspect {
+        if cleared && quarantine.status(fingerprint) == SuspectStatus::Suspect {
             quarantine.clear(fingerprint);
         }
         self.isolation = None;
@@ -387,7 +387,7 @@
     async fn check_for_crash(&mut self, run: &EngineRun) {
         let quarantine = &self.services.quarantine;
         let crashed = quarantine
-            .note_cut(&self.request.id, self.request.fingerprint, run)
+            .record_if_crashed(&self.request.id, self.request.fingerprint, run)
             .await;
         if crashed {
             let now = Instant::now();
@@ -398,7 +398,7 @@
     }
 
     fn refuse_poison(&self) -> Result<(), Failure> {
-        if self.services.quarantine.standing(self.request.fingerprint) != SuspectStatus::Poison {
+        if self.services.quarantine.status(self.request.fingerprint) != SuspectStatus::Poison {
             return Ok(());
         }
         let message = "runners crashed each time this request was in flight";
@@ -411,7 +411,7 @@
     /// Returns `None` if the runner is not available now.
     async fn engine_run(&mut self, runner: &Rc<Runner>) -> Option<EngineRun> {
         let quarantine = &self.services.quarantine;
-        if quarantine.standing(self.request.fingerprint) == SuspectStatus::Clear {
+        if quarantine.status(self.request.fingerprint) == SuspectStatus::Clear {
             let boot = runner.report(|report| report.boot)?;
             let runner = runner.clone();
             return Some(EngineRun { runner, boot });
@@ -446,7 +446,7 @@
             if self.attempts_without_token >= MAX_ATTEMPTS_WITHOUT_TOKEN {
                 return Err(self.unserved_failure("too many attempts in a row failed"));
             }
-            if !self.services.router.refreshed().await {
+            if !self.services.router.wait_until_current().await {
                 return Err(self.unserved_failure("this VM's view of the fleet is out of date"));
             }
             self.refuse_poison()?;
@@ -495,12 +495,12 @@
                     self.exclude_runner(&runner.name, "outdated");
                 }
                 Err(AttemptError::NotRun(cause)) => {
-                    runner.note_broken();
+                    runner.record_connection_failure();
                     self.exclude_runner(&runner.name, cause);
                 }
                 Err(AttemptError::MaybeRun(cause)) => {
                     self.may_have_run = true;
-                    runner.note_broken();
+                    runner.record_connection_failure();
                     self.exclude_runner(&runner.name, cause);
                     self.check_for_crash(&run).await;
                 }
@@ -538,7 +538,7 @@
         let pinned = self.tokens > 0;
         let now = Instant::now();
         let may_become_available = now < self.restart_expected_until
-            || router.is_coming(target, pinned)
+            || router.is_expected(target, pinned)
             || router.has_ready_runner(target);
         if now >= self.give_up_at || !may_become_available {
             return Err(self.unserved_failure("no runner can take the request now"));
--- a/src/control/crash_suspects.rs
+++ b/src/control/crash_suspects.rs
@@ -71,7 +71,7 @@
 
 impl Suspects {
     /// The status of the request with a fingerprint.
-    pub(crate) fn standing(&self, fingerprint: u64) -> SuspectStatus {
+    pub(crate) fn status(&self, fingerprint: u64) -> SuspectStatus {
         match self.crashes.get(&fingerprint) {
             None => SuspectStatus::Clear,
             Some(crashes) if crashes.runs.len() < MAX_CRASHES => SuspectStatus::Suspect,
@@ -109,7 +109,7 @@
                 Verdict::Accepted
             }
             SuspectCommand::Clear { fingerprint } => {
-                if self.standing(fingerprint) != SuspectStatus::Suspect {
+                if self.status(fingerprint) != SuspectStatus::Suspect {
                     return Verdict::Refused;
                 }
                 self.crashes.remove(&fingerprint);
--- a/src/control/memory_ledger.rs
+++ b/src/control/memory_ledger.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether the artifact is loaded or ordered to load.
-    pub(crate) fn is_coming(&self, artifact: &Artifact) -> bool {
+    pub(crate) fn is_resident_or_loading(&self, artifact: &Artifact) -> bool {
         self.copies
             .get(artifact)
             .is_some_and(|copy| matches!(copy.state, CopyState::Loading | CopyState::Resident))
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Asks `count` of this VM's batch requests on the runner to give up their slots.
+    /// Asks `count` of this VM's batch requests on the runner to yield their slots.
     ///
     /// Replaces the number that was requested before.
     pub(crate) fn request_yields(&self, count: u32) {
@@ -178,7 +178,7 @@
     }
 
     /// Records a broken connection, so that the runner gets no requests for a short time.
-    pub(crate) fn note_broken(&self) {
+    pub(crate) fn record_connection_failure(&self) {
         self.broken_at.set(Some(Instant::now()));
     }
 }
--- a/src/inventory/rules.rs
+++ b/src/inventory/rules.rs
@@ -61,8 +61,8 @@
     /// Adds a copy where its benefit over the payback time exceeds the cost of the moves.
     #[default]
     Demand,
-    /// Adds a copy as soon as a model's requests exceed the slots of its copies, and evicts the
-    /// least recently used model for it.
+    /// Adds a copy as soon as a model's requests exceed the slots of its copies. If it does not
+    /// fit, the model with the lowest weighted demand is evicted from that runner.
     OnDemand,
 }
 
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -133,7 +133,7 @@
     /// Returns at once if there was no pause. If the log or the VM list does not answer, answers
     /// of peers show whether the state is current. After the timeout, returns whether both the log
     /// and the VM list have at least been tried since the pause.
-    pub(crate) async fn refreshed(&self, control: &ControlStream) -> bool {
+    pub(crate) async fn wait_until_current(&self, control: &ControlStream) -> bool {
         while let Some(resumed_at) = self.pauses.resumed_at() {
             if self.is_current_since(resumed_at, control) {
                 return true;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -52,14 +52,14 @@
 }
 
 /// The connections of this VM to its peers.
-pub(crate) struct Links<S: PeerService> {
+pub(crate) struct PeerConnections<S: PeerService> {
     service: Rc<S>,
     membership: Rc<Membership>,
     bytes: Counter,
 }
 
-impl<S: PeerService> Links<S> {
-    /// Creates the links over which `service` exchanges state with peers.
+impl<S: PeerService> PeerConnections<S> {
+    /// Creates the connections over which `service` exchanges state with peers.
     pub(crate) fn new(service: Rc<S>, membership: Rc<Membership>, metrics: &Metrics) -> Rc<Self> {
         Rc::new(Self {
             service,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -149,7 +149,7 @@
             .inventory
             .models
             .iter()
-            .filter(|model| memory_ledger.is_coming(&Self::artifact(model)))
+            .filter(|model| memory_ledger.is_resident_or_loading(&Self::artifact(model)))
             .flat_map(Self::adapters)
             .filter(|(adapter, _)| !memory_ledger.copies.contains_key(adapter))
             .map(|(_, mib)| mib)
@@ -164,7 +164,7 @@
         let artifact = Self::artifact(model);
         self.runners
             .iter()
-            .filter(|runner| self.memory_ledger(runner).is_coming(&artifact))
+            .filter(|runner| self.memory_ledger(runner).is_resident_or_loading(&artifact))
             .copied()
             .collect()
     }
--- a/src/placement/eviction.rs
+++ b/src/placement/eviction.rs
@@ -22,7 +22,11 @@
         };
         self.runners
             .iter()
-            .filter(|runner| !self.memory_ledger(runner).is_coming(&Self::artifact(model)))
+            .filter(|runner| {
+                !self
+                    .memory_ledger(runner)
+                    .is_resident_or_loading(&Self::artifact(model))
+            })
             .filter_map(|runner| self.evictions_for(model, runner))
             .min_by_key(|(freed_mib, _)| *freed_mib)
             .map_or_else(Vec::new, |(_, unloads)| unloads)
--- a/src/plain_service.rs
+++ b/src/plain_service.rs
@@ -403,7 +403,7 @@
     ///
     /// The list is empty if this VM's view of the fleet cannot be refreshed.
     async fn servers(&self, service: &PlainService) -> Vec<BackendServer> {
-        if !self.membership.refreshed(&self.control).await {
+        if !self.membership.wait_until_current(&self.control).await {
             return Vec::new();
         }
         let rotation = self.rotation.get();
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -78,13 +78,13 @@
     }
 
     /// Returns whether a request is clear, a suspect or refused as poison, by its fingerprint.
-    pub(crate) fn standing(&self, fingerprint: u64) -> SuspectStatus {
+    pub(crate) fn status(&self, fingerprint: u64) -> SuspectStatus {
         let unrecorded_crashes = self.unrecorded_crashes.borrow().get(&fingerprint).copied();
         if unrecorded_crashes.is_some_and(|crashes| crashes >= MAX_UNRECORDED_CRASHES) {
             return SuspectStatus::Poison;
         }
         self.control
-            .with(|control| control.suspects.standing(fingerprint))
+            .with(|control| control.suspects.status(fingerprint))
     }
 
     /// Handles a broken connection: if the runner crashed, the request becomes a suspect.
@@ -92,7 +92,7 @@
     /// Returns whether the runner crashed. While the log is unavailable, the crash is counted only
     /// on this VM, and the request may run once more: most requests in flight are not at fault, and
     /// risking one more runner is accepted for their sake.
-    pub(crate) async fn note_cut(
+    pub(crate) async fn record_if_crashed(
         self: &Rc<Self>,
         request: &Name,
         request_fingerprint: u64,
--- a/src/router.rs
+++ b/src/router.rs
@@ -48,7 +48,7 @@
     pub(crate) fn is_resident_or_loading_in(&self, memory_ledger: &MemoryLedger) -> bool {
         std::iter::once(&self.base)
             .chain(&self.adapter)
-            .all(|artifact| memory_ledger.is_coming(artifact))
+            .all(|artifact| memory_ledger.is_resident_or_loading(artifact))
     }
 
     /// Returns the names of the artifacts, as engines use them.
@@ -153,8 +153,8 @@
 
     /// Waits until this VM's view of the fleet is newer than its last pause; returns false if that
     /// cannot be achieved.
-    pub(crate) async fn refreshed(&self) -> bool {
-        self.membership.refreshed(&self.control).await
+    pub(crate) async fn wait_until_current(&self) -> bool {
+        self.membership.wait_until_current(&self.control).await
     }
 
     /// Whether a request may still be sent to the chosen runner: this VM has not paused since the
@@ -168,18 +168,18 @@
     /// Chooses a runner for a request by the routing rule, by default the least loaded one.
     ///
     /// With `exact_version`, only the versions that the request targets are accepted; otherwise
-    /// other versions are the fallback. Runners in `avoid` are chosen only when there is no other.
-    /// With `keep_urgent_slots`, runners are skipped whose remaining slots are kept for urgent
-    /// requests.
+    /// other versions are the fallback. Runners in `excluded` are chosen only when there is no
+    /// other. With `keep_urgent_slots`, runners are skipped whose remaining slots are kept for
+    /// urgent requests.
     pub(crate) fn choose(
         &self,
         request: &CompletionRequest,
         exact_version: bool,
         keep_urgent_slots: bool,
-        avoid: &[Name],
+        excluded: &[Name],
     ) -> Option<Choice> {
         let wanted = &request.target;
-        self.choose_for(wanted, keep_urgent_slots, avoid)
+        self.choose_for(wanted, keep_urgent_slots, excluded)
             .or_else(|| {
                 if exact_version {
                     return None;
@@ -187,7 +187,7 @@
                 let other_versions = self.control.with(|control| wanted.other_versions(control));
                 other_versions
                     .iter()
-                    .find_map(|target| self.choose_for(target, keep_urgent_slots, avoid))
+                    .find_map(|target| self.choose_for(target, keep_urgent_slots, excluded))
             })
     }
 
@@ -197,7 +197,7 @@
     /// ledger. Otherwise a planner has to load them, which needs the model to be in force (with
     /// `exact_version`, in the target's version), a writable log and a runner that answers and is
     /// not leaving.
-    pub(crate) fn is_coming(&self, wanted: &Target, exact_version: bool) -> bool {
+    pub(crate) fn is_expected(&self, wanted: &Target, exact_version: bool) -> bool {
         let answers = |name: &str| self.fleet.runner(name).is_some_and(|it| it.is_answering());
         self.control.with(|control| {
             let in_ledger = control
@@ -241,14 +241,14 @@
         &self,
         target: &Target,
         keep_urgent_slots: bool,
-        avoid: &[Name],
+        excluded: &[Name],
     ) -> Option<Choice> {
         let mut scored_runners = self.scored_runners(target, keep_urgent_slots);
         if scored_runners
             .iter()
-            .any(|(_, runner)| !avoid.contains(&runner.name))
+            .any(|(_, runner)| !excluded.contains(&runner.name))
         {
-            scored_runners.retain(|(_, runner)| !avoid.contains(&runner.name));
+            scored_runners.retain(|(_, runner)| !excluded.contains(&runner.name));
         }
         if self.routing() == RoutingRule::RoundRobin {
             self.round_robin_counter
--- a/src/server.rs
+++ b/src/server.rs
@@ -14,7 +14,7 @@
 use crate::membership::Membership;
 use crate::metrics::Metrics;
 use crate::operator::Operator;
-use crate::peer::{HEARTBEAT_INTERVAL, Links, PeerService};
+use crate::peer::{HEARTBEAT_INTERVAL, PeerConnections, PeerService};
 use crate::plain_service::PlainServiceClient;
 use crate::planner::Planner;
 use crate::quarantine::Quarantine;
@@ -118,7 +118,7 @@
     }
 
     fn apply_state(&self, state: &FoldedState) {
-        if self.control.take_state(state) {
+        if self.control.restore_state(state) {
             emit(
                 Event::StateTaken,
                 format_args!("stream=control offset={}", state.read_to),
@@ -141,8 +141,8 @@
     start_peers(&registry, &config, boot, peers);
     start_fleet_updates(&registry);
     start_append_pacing(&registry, config.key_appends_per_s);
-    let keeper = SnapshotWriter::new(&registry, config.log_retention_ms);
-    compio::runtime::spawn(keeper.run()).detach();
+    let snapshot_writer = SnapshotWriter::new(&registry, config.log_retention_ms);
+    compio::runtime::spawn(snapshot_writer.run()).detach();
     compio::runtime::spawn(registry.find::<Planner>().run()).detach();
     compio::runtime::spawn(registry.find::<Router>().run_batch_yields()).detach();
 
@@ -225,13 +225,14 @@
         shutdown: shutdown.clone(),
         demand_sent_at: Cell::new(Instant::now()),
     });
-    let links = Links::new(service, membership.clone(), &registry.find::<Metrics>());
-    compio::runtime::spawn(links.clone().accept(listener, shutdown)).detach();
-    compio::runtime::spawn(links.clone().catch_up()).detach();
+    let peer_connections =
+        PeerConnections::new(service, membership.clone(), &registry.find::<Metrics>());
+    compio::runtime::spawn(peer_connections.clone().accept(listener, shutdown)).detach();
+    compio::runtime::spawn(peer_connections.clone().catch_up()).detach();
     compio::runtime::spawn(membership.clone().watch_pauses(registry.find())).detach();
     let list = HttpVmList::new(config.vm_list_address);
     let on_new_peer =
-        move |peer| compio::runtime::spawn(links.clone().send_heartbeats(peer)).detach();
+        move |peer| compio::runtime::spawn(peer_connections.clone().send_heartbeats(peer)).detach();
     compio::runtime::spawn(membership.poll_list(list, on_new_peer)).detach();
 }
 
@@ -241,7 +242,7 @@
     let membership: Rc<Membership> = registry.find();
     compio::runtime::spawn(async move {
         loop {
-            keys.pace()
+            keys.append_pacer()
                 .set_share(appends_per_s, 1 + membership.live_peer_count());
             compio::time::sleep(PACE_INTERVAL).await;
         }
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -109,7 +109,7 @@
     replica: RefCell<Replica<F>>,
     queue: RefCell<VecDeque<QueuedCommand<F>>>,
     enqueued: Signal,
-    pace: AppendPacer,
+    append_pacer: AppendPacer,
     in_flight: RefCell<Option<InFlightEnvelope<F>>>,
     pending_since: Cell<Option<Instant>>,
     sequence: Cell<u64>,
@@ -139,7 +139,7 @@
             replica: RefCell::default(),
             queue: RefCell::default(),
             enqueued: Signal::default(),
-            pace: AppendPacer::default(),
+            append_pacer: AppendPacer::default(),
             in_flight: RefCell::new(None),
             pending_since: Cell::new(None),
             sequence: Cell::new(0),
@@ -225,9 +225,9 @@
         self.appends.get()
     }
 
-    /// The pace of this VM's appends.
-    pub(crate) fn pace(&self) -> &AppendPacer {
-        &self.pace
+    /// The pacer of this VM's appends.
+    pub(crate) fn append_pacer(&self) -> &AppendPacer {
+        &self.append_pacer
     }
 
     /// The offset of the next record to be folded.
@@ -370,7 +370,7 @@
     }
 
     /// Restores a peer's state; false if it is not ahead of this one or cannot be read.
-    pub(crate) fn take_state(&self, state: &FoldedState) -> bool {
+    pub(crate) fn restore_state(&self, state: &FoldedState) -> bool {
         if state.read_to <= self.next_offset() {
             return false;
         }
@@ -393,7 +393,7 @@
                 }
                 continue;
             }
-            self.pace.wait_until_due().await;
+            self.append_pacer.wait_until_due().await;
             if let Some(record) = self.build_envelope() {
                 self.append_until_read_back(record).await;
             }
@@ -440,11 +440,11 @@
         loop {
             match self.append(record.clone()).await {
                 None => {
-                    self.pace.record_accepted();
+                    self.append_pacer.record_accepted();
                     break;
                 }
                 Some(Ok(offset)) => {
-                    self.pace.record_accepted();
+                    self.append_pacer.record_accepted();
                     self.wait_read_past(offset).await;
                     break;
                 }
@@ -453,7 +453,7 @@
                     break;
                 }
                 Some(Err(LogError::Busy)) if !may_be_written => {
-                    self.pace.record_refused();
+                    self.append_pacer.record_refused();
                     return self.requeue_in_flight();
                 }
                 Some(Err(LogError::Busy | LogError::Refused)) => {}
