--- a/src/membership.rs
+++ b/src/membership.rs
@@ -213,7 +213,7 @@
             warnings.push(format!("only {live} of {listed} listed peers are alive"));
         }
         if !control.has_usable_state() {
-            warnings.push("no usable configuration has been received yet".to_owned());
+            warnings.push("the configuration is not known".to_owned());
         }
         warnings
     }
